--- a/internal/core/route/affinity.go
+++ b/internal/core/route/affinity.go
@@ -3,87 +3,90 @@
 import "slices"
 
 const (
-	// maxPrefixes bounds the index of cached prefixes over all servers; with
-	// about 100 bytes for each it stays under 4 MB.
+	// maxPrefixes bounds the entries of the prefix index over all servers. At
+	// about 100 bytes an entry the index stays under 4 MB.
 	maxPrefixes = 32 << 10
-	// minPrefixesPerServer is each server's share however many there are.
+	// minPrefixesPerServer is the lower bound of a server's share of
+	// maxPrefixes, however many servers there are.
 	minPrefixesPerServer = 32
-	// maxHolders bounds the servers that are remembered for one prefix.
-	maxHolders = 8
-	// maxWarm bounds the servers with a cached prefix that are looked for on a walk.
-	maxWarm = 8
-	// defaultImbalance is how much slower a path may be for the sake of its caches.
+	// maxServersPerPrefix bounds the servers indexed for one prefix.
+	maxServersPerPrefix = 8
+	// maxWarmServers bounds the servers with a cached prefix that are considered
+	// for one request.
+	maxWarmServers = 8
+	// defaultImbalance is the default of Options.MaxImbalance.
 	defaultImbalance = 1.25
 )
 
-// CacheEvent says that a backend server's cache holds a prefix now, or no longer.
+// CacheEvent reports that a backend server cached a prefix or evicted it.
 type CacheEvent struct {
-	// Sequence counts the server's events; a missing number is an event lost.
+	// Sequence numbers the server's events without gaps. A missing number means
+	// a lost event.
 	Sequence uint64 `json:"sequence"`
-	// Prefix is the prefix's hash.
+	// Prefix is the hash of the prefix.
 	Prefix  uint64 `json:"prefix"`
 	Evicted bool   `json:"evicted,omitempty"`
 }
 
-// cached is what is known of one server's cache.
-type cached struct {
+// serverCache is the known content of one server's prefix cache.
+type serverCache struct {
 	incarnation uint64
 	sequence    uint64
-	known       map[uint64]struct{}
-	// order is the hashes in the order of their addition; those removed since
-	// are skipped when they come up.
+	hashes      map[uint64]struct{}
+	// order lists the hashes in the order of their addition. It keeps removed
+	// ones, which are skipped.
 	order []uint64
 }
 
-// prefixIndex tells which servers hold a prefix. It is a hint: a wrong entry
-// costs a prefill, never a wrong answer.
+// prefixIndex maps prefixes to the servers that have them cached. It is a hint:
+// a wrong entry costs a prefill and can't cause a wrong answer.
 type prefixIndex struct {
-	servers map[string]*cached
+	caches  map[string]*serverCache
 	holders map[uint64][]*server
 }
 
 func newPrefixIndex() prefixIndex {
-	return prefixIndex{servers: make(map[string]*cached), holders: make(map[uint64][]*server)}
+	return prefixIndex{caches: make(map[string]*serverCache), holders: make(map[uint64][]*server)}
 }
 
-// apply takes an event in. After a gap the server may have dropped anything, so
-// all that was known of its cache is forgotten: affinity to a cache that is
-// gone would overload the server for nothing.
+// apply updates the index by an event. After a gap in the sequence any entry of
+// the server may be stale, so all of them are removed: affinity to an evicted
+// prefix would overload the server without saving a prefill.
 func (x *prefixIndex) apply(s *server, incarnation uint64, event CacheEvent) {
-	c := x.servers[s.Name]
+	c := x.caches[s.Name]
 	if c != nil && c.incarnation == incarnation && event.Sequence <= c.sequence {
 		return
 	}
 	if c == nil || c.incarnation != incarnation || event.Sequence != c.sequence+1 {
-		x.forget(s)
-		c = &cached{incarnation: incarnation, known: make(map[uint64]struct{})}
-		x.servers[s.Name] = c
+		x.removeServer(s)
+		c = &serverCache{incarnation: incarnation, hashes: make(map[uint64]struct{})}
+		x.caches[s.Name] = c
 	}
 	c.sequence = event.Sequence
 	if event.Evicted {
-		x.drop(s, c, event.Prefix)
+		x.remove(s, c, event.Prefix)
 		return
 	}
 	x.add(s, c, event.Prefix)
 }
 
-// forget drops all that is known of a server's cache.
-func (x *prefixIndex) forget(s *server) {
-	c := x.servers[s.Name]
+// removeServer removes all entries of a server.
+func (x *prefixIndex) removeServer(s *server) {
+	c := x.caches[s.Name]
 	if c == nil {
 		return
 	}
 	for _, hash := range c.order {
-		x.drop(s, c, hash)
+		x.remove(s, c, hash)
 	}
-	delete(x.servers, s.Name)
+	delete(x.caches, s.Name)
 }
 
-func (x *prefixIndex) drop(s *server, c *cached, hash uint64) {
-	if _, known := c.known[hash]; !known {
+func (x *prefixIndex) remove(s *server, c *serverCache, hash uint64) {
+	if _, indexed := c.hashes[hash]; !indexed {
 		return
 	}
-	delete(c.known, hash)
+	delete(c.hashes, hash)
 	holders := slices.DeleteFunc(x.holders[hash], func(h *server) bool { return h == s })
 	if len(holders) == 0 {
 		delete(x.holders, hash)
@@ -92,26 +95,27 @@
 	x.holders[hash] = holders
 }
 
-func (x *prefixIndex) add(s *server, c *cached, hash uint64) {
-	if _, known := c.known[hash]; known || len(x.holders[hash]) >= maxHolders {
+func (x *prefixIndex) add(s *server, c *serverCache, hash uint64) {
+	if _, indexed := c.hashes[hash]; indexed || len(x.holders[hash]) >= maxServersPerPrefix {
 		return
 	}
-	room := max(maxPrefixes/len(x.servers), minPrefixesPerServer)
-	for len(c.order) >= room {
-		x.drop(s, c, c.order[0])
+	quota := max(maxPrefixes/len(x.caches), minPrefixesPerServer)
+	for len(c.order) >= quota {
+		x.remove(s, c, c.order[0])
 		c.order = c.order[1:]
 	}
-	c.known[hash] = struct{}{}
+	c.hashes[hash] = struct{}{}
 	c.order = append(c.order, hash)
 	x.holders[hash] = append(x.holders[hash], s)
 }
 
-// warm lists servers that hold a prefix, those with the longest first.
-func (x *prefixIndex) warm(into []*server, prefixes []uint64) []*server {
+// serversWithPrefix lists up to maxWarmServers servers with a cached prefix, those
+// with the longest first. It reuses the slice into.
+func (x *prefixIndex) serversWithPrefix(into []*server, prefixes []uint64) []*server {
 	into = into[:0]
 	for _, hash := range slices.Backward(prefixes) {
 		for _, s := range x.holders[hash] {
-			if len(into) == maxWarm {
+			if len(into) == maxWarmServers {
 				return into
 			}
 			if !slices.Contains(into, s) {
@@ -122,29 +126,31 @@
 	return into
 }
 
-// preferWarm weighs a path over servers that hold a prefix of the prompt
-// against the best one drawn. The cap on the imbalance keeps a popular prefix
-// from overloading the server that holds it: the overflow goes elsewhere, and
-// the prefix with it.
-func (r *Router) preferWarm(d *drawing, best *candidate) *candidate {
+// preferWarm returns a path over servers with a cached prefix of the prompt,
+// unless it is slower than the best sampled path by more than the factor
+// Options.MaxImbalance. The limit keeps a popular prefix from overloading the
+// server that has it cached: further requests go to other servers, which then
+// cache the prefix too.
+func (r *Router) preferWarm(d *decision, best *candidate) *candidate {
 	if len(d.request.Prefixes) == 0 {
 		return best
 	}
-	r.warm = r.prefixes.warm(r.warm, d.request.Prefixes)
-	if len(r.warm) == 0 {
+	r.warmServers = r.prefixes.serversWithPrefix(r.warmServers, d.request.Prefixes)
+	if len(r.warmServers) == 0 {
 		return best
 	}
 	warm := &r.scratch[2]
-	if d.walk(warm, false, r.warm) && warm.warm > 0 && warm.roomy <= best.roomy*r.options.Imbalance {
+	if d.walk(warm, false, r.warmServers) && warm.warmStages > 0 && warm.fullBatchScore <= best.fullBatchScore*r.options.MaxImbalance {
 		return warm
 	}
 	return best
 }
 
-// warmServer is the server with the longest cached prefix among those that the hops lead to.
-func (d *drawing) warmServer(hops []hop, at int, warm []*server) *server {
+// nextWarmServer returns the server with the longest cached prefix among those
+// that the hops lead to, or nil.
+func (d *decision) nextWarmServer(hops []hop, at int, warm []*server) *server {
 	for _, s := range warm {
-		if s.class == nil || s.class.key.layers.To <= at || d.barred(s) {
+		if s.class == nil || s.class.key.layers.To <= at || d.excluded(s) {
 			continue
 		}
 		for i := range hops {
--- a/internal/core/route/flow/flow.go
+++ b/internal/core/route/flow/flow.go
@@ -3,12 +3,13 @@
 
 import "math"
 
-// Unlimited is the capacity of an arc without a bound.
+// Unlimited is the capacity of an unbounded arc.
 const Unlimited = math.MaxFloat64 / 4
 
-// relativeSlack is the part of the greatest capacity below which a residual
-// counts as none. Without it rounding errors would be augmented for ever.
-const relativeSlack = 1e-9
+// relativeTolerance is the fraction of the largest capacity below which a
+// residual capacity counts as zero. Without it Max could keep augmenting
+// rounding errors and never end.
+const relativeTolerance = 1e-9
 
 type arc struct {
 	to       int32
@@ -20,20 +21,24 @@
 // call New. It is not safe for concurrent use.
 type Network struct {
 	// arcs holds each arc at an even index and its reverse at the next odd one.
-	arcs  []arc
-	leave [][]int32
+	arcs []arc
+	// outgoing lists, by node, the indexes of the arcs that leave it.
+	outgoing [][]int32
+	// level is each node's distance from the source in the residual network, -1
+	// if it can't be reached.
 	level []int32
-	next  []int32
-	queue []int32
-	slack float64
+	// nextArc is, by node, the position in outgoing of the next arc to try.
+	nextArc   []int32
+	queue     []int32
+	tolerance float64
 }
 
-// New makes a network of nodes 0 to nodes-1 without arcs.
+// New returns a network with nodes 0 to nodes-1 and no arcs.
 func New(nodes int) *Network {
 	return &Network{
-		leave: make([][]int32, nodes),
-		level: make([]int32, nodes),
-		next:  make([]int32, nodes),
+		outgoing: make([][]int32, nodes),
+		level:    make([]int32, nodes),
+		nextArc:  make([]int32, nodes),
 	}
 }
 
@@ -41,15 +46,15 @@
 func (n *Network) AddArc(from, to int, capacity float64) int {
 	id := len(n.arcs)
 	n.arcs = append(n.arcs, arc{to: int32(to), capacity: capacity}, arc{to: int32(from)})
-	n.leave[from] = append(n.leave[from], int32(id))
-	n.leave[to] = append(n.leave[to], int32(id+1))
+	n.outgoing[from] = append(n.outgoing[from], int32(id))
+	n.outgoing[to] = append(n.outgoing[to], int32(id+1))
 	return id
 }
 
 // SetCapacity changes the capacity of an arc. The next call of Max uses it.
 func (n *Network) SetCapacity(id int, capacity float64) { n.arcs[id].capacity = capacity }
 
-// Flow is what the arc carries after Max.
+// Flow returns the flow over an arc after Max.
 func (n *Network) Flow(id int) float64 { return n.arcs[id].flow }
 
 // Max computes a maximum flow from source to sink, starting from no flow, and
@@ -57,11 +62,11 @@
 func (n *Network) Max(source, sink int) float64 {
 	n.reset()
 	total := 0.0
-	for n.layer(source, sink) {
-		clear(n.next)
+	for n.buildLevels(source, sink) {
+		clear(n.nextArc)
 		for {
 			pushed := n.augment(source, sink, Unlimited)
-			if pushed <= n.slack {
+			if pushed <= n.tolerance {
 				break
 			}
 			total += pushed
@@ -70,23 +75,24 @@
 	return total
 }
 
-// Reached tells, after Max, which nodes the source can still reach: the arcs
-// that leave them are the minimum cut.
-func (n *Network) Reached(node int) bool { return n.level[node] >= 0 }
+// Reachable reports, after Max, whether the source can still reach a node in the
+// residual network. The arcs that leave the reachable nodes are a minimum cut.
+func (n *Network) Reachable(node int) bool { return n.level[node] >= 0 }
 
 func (n *Network) reset() {
-	greatest := 0.0
+	largest := 0.0
 	for i := range n.arcs {
 		n.arcs[i].flow = 0
 		if c := n.arcs[i].capacity; c < Unlimited {
-			greatest = max(greatest, c)
+			largest = max(largest, c)
 		}
 	}
-	n.slack = greatest * relativeSlack
+	n.tolerance = largest * relativeTolerance
 }
 
-// layer numbers the nodes by their distance from the source in the residual network.
-func (n *Network) layer(source, sink int) bool {
+// buildLevels sets each node's level by a breadth-first search of the residual
+// network, and reports whether the sink can be reached.
+func (n *Network) buildLevels(source, sink int) bool {
 	for i := range n.level {
 		n.level[i] = -1
 	}
@@ -94,9 +100,9 @@
 	n.queue = append(n.queue[:0], int32(source))
 	for head := 0; head < len(n.queue); head++ {
 		node := n.queue[head]
-		for _, id := range n.leave[node] {
+		for _, id := range n.outgoing[node] {
 			a := &n.arcs[id]
-			if n.level[a.to] < 0 && a.capacity-a.flow > n.slack {
+			if n.level[a.to] < 0 && a.capacity-a.flow > n.tolerance {
 				n.level[a.to] = n.level[node] + 1
 				n.queue = append(n.queue, a.to)
 			}
@@ -105,19 +111,20 @@
 	return n.level[sink] >= 0
 }
 
-// augment pushes up to limit along one path of the layered network.
+// augment pushes up to limit along one path of the level graph and returns the
+// flow pushed.
 func (n *Network) augment(node, sink int, limit float64) float64 {
 	if node == sink {
 		return limit
 	}
-	for ; int(n.next[node]) < len(n.leave[node]); n.next[node]++ {
-		id := n.leave[node][n.next[node]]
+	for ; int(n.nextArc[node]) < len(n.outgoing[node]); n.nextArc[node]++ {
+		id := n.outgoing[node][n.nextArc[node]]
 		a := &n.arcs[id]
 		residual := a.capacity - a.flow
-		if residual <= n.slack || n.level[a.to] != n.level[node]+1 {
+		if residual <= n.tolerance || n.level[a.to] != n.level[node]+1 {
 			continue
 		}
-		if pushed := n.augment(int(a.to), sink, min(limit, residual)); pushed > n.slack {
+		if pushed := n.augment(int(a.to), sink, min(limit, residual)); pushed > n.tolerance {
 			a.flow += pushed
 			n.arcs[id^1].flow -= pushed
 			return pushed
--- a/internal/core/route/flow/flow_test.go
+++ b/internal/core/route/flow/flow_test.go
@@ -10,9 +10,9 @@
 	"oleandershunt.example/oleandershunt/internal/core/route/flow"
 )
 
-// A flow that fills the short way first must be taken back in part to let the
-// rest through.
-func TestMaxTakesFlowBack(t *testing.T) {
+// Flow pushed along the first path found must be cancelled in part to reach the
+// maximum.
+func TestMaxCancelsFlow(t *testing.T) {
 	g := NewWithT(t)
 	n := flow.New(4)
 	n.AddArc(0, 1, 1)
@@ -24,9 +24,9 @@
 	g.Expect(n.Flow(middle)).To(BeNumerically("~", 0, 1e-9))
 }
 
-// The value is the capacity of the arcs that leave what the source still
-// reaches, and what enters a node leaves it.
-func TestMaxIsTheMinimumCut(t *testing.T) {
+// On random networks the value of the flow is the capacity of the minimum cut,
+// and every inner node has as much inflow as outflow.
+func TestMaxEqualsMinimumCut(t *testing.T) {
 	for seed := range uint64(200) {
 		g := NewWithT(t)
 		random := rand.New(rand.NewPCG(seed, 0))
@@ -52,7 +52,7 @@
 			g.Expect(n.Flow(a.arc)).To(And(BeNumerically(">=", -1e-6), BeNumerically("<=", capacities[a.arc]+1e-6)))
 			balance[a.from] -= n.Flow(a.arc)
 			balance[a.to] += n.Flow(a.arc)
-			if n.Reached(a.from) && !n.Reached(a.to) {
+			if n.Reachable(a.from) && !n.Reachable(a.to) {
 				cut += capacities[a.arc]
 			}
 		}
@@ -63,28 +63,28 @@
 	}
 }
 
-// BenchmarkMax is one flow with an arc for each server, over 4 cuts in 3 data
-// centres: what classes of servers save.
+// BenchmarkMax measures one maximum flow over 4 cuts in 3 data centres with one
+// arc per server, the cost that grouping servers into classes saves.
 func BenchmarkMax(b *testing.B) {
 	for _, servers := range []int{30, 100, 200, 400, 800} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			const cuts, sites = 5, 3
+			const cuts, dataCentres = 5, 3
 			random := rand.New(rand.NewPCG(1, 1))
-			n := flow.New(cuts*sites + 2)
-			for site := range sites {
-				n.AddArc(cuts*sites, site, flow.Unlimited)
-				n.AddArc((cuts-1)*sites+site, cuts*sites+1, flow.Unlimited)
+			n := flow.New(cuts*dataCentres + 2)
+			for dc := range dataCentres {
+				n.AddArc(cuts*dataCentres, dc, flow.Unlimited)
+				n.AddArc((cuts-1)*dataCentres+dc, cuts*dataCentres+1, flow.Unlimited)
 				for cut := 1; cut < cuts-1; cut++ {
-					n.AddArc(cut*sites+site, cut*sites+(site+1)%sites, flow.Unlimited)
+					n.AddArc(cut*dataCentres+dc, cut*dataCentres+(dc+1)%dataCentres, flow.Unlimited)
 				}
 			}
 			for range servers {
 				from := random.IntN(cuts - 1)
-				site := random.IntN(sites)
-				n.AddArc(from*sites+site, (from+1)*sites+site, 50+200*random.Float64())
+				dc := random.IntN(dataCentres)
+				n.AddArc(from*dataCentres+dc, (from+1)*dataCentres+dc, 50+200*random.Float64())
 			}
 			for b.Loop() {
-				n.Max(cuts*sites, cuts*sites+1)
+				n.Max(cuts*dataCentres, cuts*dataCentres+1)
 			}
 		})
 	}
--- a/internal/core/route/graph.go
+++ b/internal/core/route/graph.go
@@ -10,22 +10,22 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// recomputeInterval is how often at most the flow is computed again for changes
-// that leave the present flow usable. A class of servers that appears or is
-// lost, or a link, is taken in at the next choice.
+// recomputeInterval is the minimum time between recomputations of the flow for
+// changes that leave the present flow usable. A class that appears or vanishes,
+// or a change of a link, causes a recomputation before the next choice.
 const recomputeInterval = 250 * time.Millisecond
 
-// driftLimit is the part of a graph's capacity by which learned capacities may
-// move before the flow is computed again.
+// driftLimit is the fraction of a graph's total capacity by which the estimated
+// capacities may change before the flow is recomputed.
 const driftLimit = 0.05
 
-// minMeasured is how many servers must have been measured before they say
-// something about the others.
-const minMeasured = 3
+// minMeasuredServers is the number of measured servers needed to scale the
+// capacities of the others.
+const minMeasuredServers = 3
 
-// classKey says what the servers of a class have in common. For the flow they
-// are one server with the sum of their capacities, which keeps the network as
-// small as the number of different ranges, however many servers there are.
+// classKey identifies a class by what its servers have in common. For the flow a
+// class is one server with the sum of the capacities, so the size of the network
+// depends on the number of different ranges, not on the number of servers.
 type classKey struct {
 	layers     api.Layers
 	dataCentre string
@@ -39,15 +39,17 @@
 	)
 }
 
-// class is the eligible servers that hold the same layers in the same data centre.
+// class is the set of eligible servers that have the same layers loaded in the
+// same data centre.
 type class struct {
 	key     classKey
 	members []*server
-	// cumulative are the running sums of the members' capacities.
+	// cumulative holds the cumulative sums of the members' capacities.
 	cumulative []float64
-	// site and end are the data centre's index and the node after the layers.
-	site, start, end int
-	// arc is the class's arc in the network, flow what it carries.
+	// dataCentre is the data centre's index. startNode and endNode are the nodes
+	// before and after the layers.
+	dataCentre, startNode, endNode int
+	// arc is the class's arc in the network, and flow the flow over it.
 	arc  int
 	flow float64
 }
@@ -59,8 +61,9 @@
 	return c.cumulative[len(c.cumulative)-1]
 }
 
-// sum computes the running sums anew, after a member came, went or was learned about.
-func (c *class) sum() {
+// updateCumulative recomputes the cumulative sums after a member was added or
+// removed, or a capacity changed.
+func (c *class) updateCumulative() {
 	c.cumulative = c.cumulative[:0]
 	total := 0.0
 	for _, member := range c.members {
@@ -72,43 +75,48 @@
 func (c *class) insert(s *server) {
 	at, _ := slices.BinarySearchFunc(c.members, s, compareServers)
 	c.members = slices.Insert(c.members, at, s)
-	c.sum()
+	c.updateCumulative()
 	s.class = c
 }
 
 func (c *class) delete(s *server) {
 	at, _ := slices.BinarySearchFunc(c.members, s, compareServers)
 	c.members = slices.Delete(c.members, at, at+1)
-	c.sum()
+	c.updateCumulative()
 	s.class = nil
 }
 
-// graph is the eligible servers of one version of a model, and the flow over them.
+// graph holds the eligible servers of one version of a model, and the flow over
+// them.
 type graph struct {
 	model, version string
-	// layers is the model's number of layers, 0 while no request has told it.
+	// layers is the model's number of layers, 0 until it is known from a request.
 	layers  int
 	classes map[classKey]*class
 
-	// stale asks for another computation, urgent for one before the next choice.
-	stale, urgent bool
-	drift         float64
-	computedAt    time.Duration
+	// stale is true if the flow must be recomputed, at most once per
+	// recomputeInterval. recomputeNow is true if it must be recomputed before the
+	// next choice.
+	stale, recomputeNow bool
+	// drift is the total change of estimated capacities since the last computation.
+	drift      float64
+	computedAt time.Duration
 
-	ordered []*class
-	cuts    []int
-	sites   []string
-	// delays are the links' delays in seconds by site, and open whether they can be used.
+	ordered     []*class
+	cuts        []int
+	dataCentres []string
+	// delays are the links' delays in seconds and linkUp whether they can be used,
+	// by the indexes of the two data centres.
 	delays  [][]float64
-	open    [][]bool
-	home    int
+	linkUp  [][]bool
+	localDC int
 	network *network
 	hops    [][]hop
 	bound   Bound
 }
 
 func newGraph(model, version string) *graph {
-	return &graph{model: model, version: version, classes: make(map[classKey]*class), urgent: true}
+	return &graph{model: model, version: version, classes: make(map[classKey]*class), recomputeNow: true}
 }
 
 func (g *graph) add(s *server) {
@@ -117,7 +125,7 @@
 	if !ok {
 		c = &class{key: key}
 		g.classes[key] = c
-		g.urgent = true
+		g.recomputeNow = true
 	}
 	c.insert(s)
 	g.stale = true
@@ -129,14 +137,14 @@
 	g.stale = true
 	if len(c.members) == 0 {
 		delete(g.classes, c.key)
-		g.urgent = true
+		g.recomputeNow = true
 	}
 }
 
 func compareServers(a, b *server) int { return strings.Compare(a.Name, b.Name) }
 
-// learned notes that a member's capacity moved.
-func (g *graph) learned(change float64) {
+// addDrift records a change of a member's estimated capacity.
+func (g *graph) addDrift(change float64) {
 	g.drift += max(change, -change)
 	total := 0.0
 	for _, c := range g.ordered {
@@ -147,21 +155,22 @@
 	}
 }
 
-// due tells whether the flow has to be computed before the next choice.
-func (g *graph) due(now time.Duration) bool {
-	return g.urgent || g.stale && now-g.computedAt >= recomputeInterval
+// recomputeDue reports whether the flow must be recomputed before the next choice.
+func (g *graph) recomputeDue(now time.Duration) bool {
+	return g.recomputeNow || g.stale && now-g.computedAt >= recomputeInterval
 }
 
 func (g *graph) sorted() []*class {
 	return slices.SortedFunc(maps.Values(g.classes), func(a, b *class) int { return a.key.compare(b.key) })
 }
 
-// meanClaim is the servers' mean claim for a single layer, 1 without servers.
-func (g *graph) meanClaim() float64 {
+// meanNominalCapacity returns the servers' mean nominal capacity for a single
+// layer, or 1 if there are none.
+func (g *graph) meanNominalCapacity() float64 {
 	total, servers := 0.0, 0
 	for _, c := range g.sorted() {
 		for _, s := range c.members {
-			total += s.claimed * float64(c.key.layers.Len())
+			total += s.nominalCapacity * float64(c.key.layers.Len())
 			servers++
 		}
 	}
@@ -171,87 +180,88 @@
 	return total / float64(servers)
 }
 
-// scale corrects the servers that have not been measured by what the measured
-// ones showed: the median of measured to claimed. A record's figure is good for
-// comparing servers, not for its unit; without this, servers that were measured
-// would seem far faster or slower than those that wait to be tried.
-func (g *graph) scale() {
+// scaleUnmeasured multiplies the capacities of the servers without measurements by
+// the median ratio of estimated to nominal capacity of the measured ones. The
+// figures of the records are good for comparing servers, but not absolute. Without
+// scaling, measured servers would seem far faster or slower than the others.
+func (g *graph) scaleUnmeasured() {
 	var ratios []float64
 	for _, c := range g.ordered {
 		for _, s := range c.members {
-			if s.measured.enough() {
-				ratios = append(ratios, s.capacity/s.claimed)
+			if s.stats.reliable() {
+				ratios = append(ratios, s.capacity/s.nominalCapacity)
 			}
 		}
 	}
-	if len(ratios) < minMeasured {
+	if len(ratios) < minMeasuredServers {
 		return
 	}
 	slices.Sort(ratios)
 	median := ratios[len(ratios)/2]
 	for _, c := range g.ordered {
 		for _, s := range c.members {
-			if !s.measured.enough() {
-				s.capacity = s.claimed * median
+			if !s.stats.reliable() {
+				s.capacity = s.nominalCapacity * median
 			}
 		}
 	}
 }
 
-// layOut orders the classes and numbers cuts and sites.
-func (g *graph) layOut(home string, links map[linkKey]Link) {
+// indexNodes orders the classes and numbers the cuts and data centres. local is the
+// VM's data centre.
+func (g *graph) indexNodes(local string, links map[linkKey]Link) {
 	g.ordered = slices.DeleteFunc(g.sorted(), func(c *class) bool {
 		return c.key.layers.From < 0 || c.key.layers.Len() <= 0 || c.key.layers.To > g.layers
 	})
-	g.scale()
+	g.scaleUnmeasured()
 	g.cuts = append(g.cuts[:0], 0, g.layers)
-	g.sites = append(g.sites[:0], home)
+	g.dataCentres = append(g.dataCentres[:0], local)
 	for _, c := range g.ordered {
-		c.sum()
+		c.updateCumulative()
 		g.cuts = append(g.cuts, c.key.layers.From, c.key.layers.To)
-		g.sites = append(g.sites, c.key.dataCentre)
+		g.dataCentres = append(g.dataCentres, c.key.dataCentre)
 	}
 	slices.Sort(g.cuts)
 	g.cuts = slices.Compact(g.cuts)
-	slices.Sort(g.sites)
-	g.sites = slices.Compact(g.sites)
-	g.home = g.site(home)
+	slices.Sort(g.dataCentres)
+	g.dataCentres = slices.Compact(g.dataCentres)
+	g.localDC = g.dataCentreIndex(local)
 	for _, c := range g.ordered {
-		c.site = g.site(c.key.dataCentre)
-		c.start = g.node(c.key.layers.From, c.site)
-		c.end = g.node(c.key.layers.To, c.site)
+		c.dataCentre = g.dataCentreIndex(c.key.dataCentre)
+		c.startNode = g.node(c.key.layers.From, c.dataCentre)
+		c.endNode = g.node(c.key.layers.To, c.dataCentre)
 	}
-	g.layOutLinks(links)
+	g.indexLinks(links)
 }
 
-func (g *graph) layOutLinks(links map[linkKey]Link) {
-	g.delays = make([][]float64, len(g.sites))
-	g.open = make([][]bool, len(g.sites))
-	for from, fromName := range g.sites {
-		g.delays[from] = make([]float64, len(g.sites))
-		g.open[from] = make([]bool, len(g.sites))
-		for to, toName := range g.sites {
+func (g *graph) indexLinks(links map[linkKey]Link) {
+	g.delays = make([][]float64, len(g.dataCentres))
+	g.linkUp = make([][]bool, len(g.dataCentres))
+	for from, fromName := range g.dataCentres {
+		g.delays[from] = make([]float64, len(g.dataCentres))
+		g.linkUp[from] = make([]bool, len(g.dataCentres))
+		for to, toName := range g.dataCentres {
 			link := links[linkKey{fromName, toName}]
 			g.delays[from][to] = link.Delay.Seconds()
-			g.open[from][to] = from == to || !link.Lost
+			g.linkUp[from][to] = from == to || !link.Lost
 		}
 	}
 }
 
-func (g *graph) site(name string) int {
-	at, _ := slices.BinarySearch(g.sites, name)
+func (g *graph) dataCentreIndex(name string) int {
+	at, _ := slices.BinarySearch(g.dataCentres, name)
 	return at
 }
 
-// node is a state of a token: the layers before the cut have run, and its
-// activations are at the site.
-func (g *graph) node(layer, site int) int {
+// node returns the node for a token whose layers before a cut have run and whose
+// activations are in a data centre.
+func (g *graph) node(layer, dataCentre int) int {
 	at, _ := slices.BinarySearch(g.cuts, layer)
-	return at*len(g.sites) + site
+	return at*len(g.dataCentres) + dataCentre
 }
 
-// coverage lists the ranges of layers that no eligible server holds, and those
-// that exactly one holds.
+// coverage returns the ranges of layers that no eligible server has loaded, and
+// those that exactly one has.
 func (g *graph) coverage() (missing, single []api.Layers) {
 	for i := 0; i+1 < len(g.cuts); i++ {
 		part := api.Layers{From: g.cuts[i], To: g.cuts[i+1]}
@@ -271,7 +281,7 @@
 	return missing, single
 }
 
-// appendRange adds a range, joined to the last one where they touch.
+// appendRange appends a range, merged with the last one if they are adjacent.
 func appendRange(ranges []api.Layers, part api.Layers) []api.Layers {
 	if last := len(ranges) - 1; last >= 0 && ranges[last].To == part.From {
 		ranges[last].To = part.To
--- a/internal/core/route/load.go
+++ b/internal/core/route/load.go
@@ -5,203 +5,213 @@
 	"time"
 )
 
-// What is learned, and how fast.
+// Parameters of the load and capacity estimates.
 const (
-	// historySpacing and historyLength bound what is remembered of a server's
-	// own streams: reports up to their product old can be corrected.
-	historySpacing = 100 * time.Millisecond
-	historyLength  = 32
-	// reportLife is how long a report counts. A server that reports no more is
-	// then judged by this VM's own streams alone.
-	reportLife = 30 * time.Second
-	// learnGain is the weight of one finished stream against all before it, and
-	// correctGain that of the throughput so measured against the estimate.
-	learnGain   = 0.03
-	correctGain = 0.2
-	// minStreams is how many streams must have been measured first.
-	minStreams = 4
-	// minSampleTokens is the shortest run of tokens that a pace is taken from.
+	// historyInterval and historyLength bound the history of the VM's own streams
+	// on a server. Reports up to their product old can be corrected by it.
+	historyInterval = 100 * time.Millisecond
+	historyLength   = 32
+	// maxReportAge is how long a load report is used. Without a newer one, only
+	// this VM's own streams count as the server's load.
+	maxReportAge = 30 * time.Second
+	// streamGain is the weight of one finished stream in the moving averages of a
+	// server, and estimateGain the weight of the resulting capacity in the
+	// estimate.
+	streamGain   = 0.03
+	estimateGain = 0.2
+	// minMeasuredStreams is the number of streams that must have been measured
+	// before the averages are used.
+	minMeasuredStreams = 4
+	// minSampleTokens is the smallest number of tokens from which a stream's
+	// speed is measured.
 	minSampleTokens = 8
-	// stageGain is the weight of one finished stream in the time that its
-	// stages are thought to take.
-	stageGain = 0.1
-	// trustBand is how far the measured capacity may be from the recorded one,
-	// as a factor, before it replaces it: within it the difference is noise.
-	trustBand = 1.25
-	// rampStart is the part of its capacity that a server which came back is
-	// credited with at first.
+	// stageTimeGain is the weight of one finished stream in the estimated times
+	// of its stages.
+	stageTimeGain = 0.1
+	// capacityNoiseFactor is the factor by which the estimated capacity must
+	// differ from the recorded one to replace it. Smaller differences are noise.
+	capacityNoiseFactor = 1.25
+	// rampStart is the fraction of its capacity at which a server that became
+	// eligible again starts its ramp-up.
 	rampStart = 0.1
-	// rampBase and rampLimit bound how long that lasts.
-	rampBase  = 2 * time.Second
-	rampLimit = time.Minute
-	// calmAfter is how long a server must have been eligible before its earlier
-	// comings and goings are forgotten.
-	calmAfter = 2 * time.Minute
+	// minRampDuration and maxRampDuration bound the duration of the ramp-up.
+	minRampDuration = 2 * time.Second
+	maxRampDuration = time.Minute
+	// stableAfter is how long a server must have been eligible before its earlier
+	// recoveries no longer count.
+	stableAfter = 2 * time.Minute
 )
 
-// Report is what a backend server said of its load. It lags, and may arrive out of order.
+// Report is a backend server's load report. It arrives with a delay and possibly
+// out of order.
 type Report struct {
 	Server string
-	// At is when the server said it, on this VM's clock.
+	// At is when the server made the report, on this VM's clock.
 	At time.Duration
-	// Running and Waiting are the server's streams in its batch and in its queue.
+	// Running and Waiting are the numbers of streams in the server's batch and in
+	// its queue.
 	Running, Waiting int
 }
 
-// point is a server's own streams in flight from a time on.
-type point struct {
+// historyEntry is the number of this VM's streams on a server from a time on.
+type historyEntry struct {
 	at       time.Duration
 	inFlight int
 }
 
-// server is a backend server with what this VM knows of its load.
+// server is a backend server with its load and capacity as estimated by this VM.
 type server struct {
 	Server
 	class *class
-	// inFlight are this VM's streams on the server.
+	// inFlight is the number of this VM's streams on the server.
 	inFlight int
-	// history is a ring of inFlight over time, the newest at index newest.
-	history [historyLength]point
-	newest  int
-	// report is the newest report. reported tells whether there is one.
+	// history is a ring buffer of inFlight over time, with the newest entry at
+	// index historyNewest.
+	history       [historyLength]historyEntry
+	historyNewest int
+	// report is the newest report, and reported whether there is one.
 	report   Report
 	reported bool
-	// others are the streams of other VMs at the time of the report.
-	others int
-	// batch is the greatest number of streams that were seen running at once.
-	batch int
-	// claimed is the capacity that the server started from, and capacity what
-	// it was corrected to.
-	claimed, capacity float64
-	// area is the streams of all VMs summed over the time up to areaAt, in
-	// stream-seconds.
-	area   float64
-	areaAt time.Duration
-	// measured sums up recent streams.
-	measured measured
-	// stageSeconds is how long one token is thought to spend at the server, its
-	// queue included. 0 when not known.
+	// otherStreams is the number of other VMs' streams at the time of the report.
+	otherStreams int
+	// maxBatch is the highest number of running streams in any report.
+	maxBatch int
+	// nominalCapacity is the initial capacity, from the record if it has one, and
+	// capacity the current estimate, both in tokens per second.
+	nominalCapacity, capacity float64
+	// streamSeconds is the integral of all VMs' streams over the time up to
+	// streamSecondsAt.
+	streamSeconds   float64
+	streamSecondsAt time.Duration
+	// stats are the averages over recent streams.
+	stats streamStats
+	// stageSeconds is the estimated time that one token spends at the server,
+	// including its queue. 0 if unknown.
 	stageSeconds float64
-	// estimate is the capacity that streams showed.
-	estimate float64
-	// eligibleSince and returns tell how steady the server is.
+	// estimatedCapacity is the capacity as measured from streams, in tokens per
+	// second.
+	estimatedCapacity float64
+	// eligibleSince, recoveries and wasEligible record how stable the server is:
+	// recoveries counts how often it became eligible again.
 	eligibleSince time.Duration
-	returns       int
+	recoveries    int
 	wasEligible   bool
-	// turn counts for the round-robin baseline.
-	turn uint64
+	// roundRobinTurn orders the servers of the round-robin policy.
+	roundRobinTurn uint64
 }
 
-// measured is what finished streams showed of a server; older ones fade.
-type measured struct {
+// streamStats are exponential moving averages over a server's finished streams.
+type streamStats struct {
 	streams int
-	// tokens came in seconds of stream time, during which the server had load
-	// stream-seconds per second, weighed by the same time.
-	tokens, seconds, load float64
+	// tokens is the mean number of tokens of a stream, seconds its mean duration,
+	// and streamSeconds the mean integral of the server's streams over it.
+	tokens, seconds, streamSeconds float64
 }
 
-func (m *measured) add(tokens, seconds, streams float64) {
+func (m *streamStats) add(tokens, seconds, streams float64) {
 	m.streams++
-	// The first streams weigh the same; only then do older ones fade.
-	gain := max(learnGain, 1/float64(m.streams))
+	// The first streams have equal weights; the exponential decay begins after
+	// them.
+	gain := max(streamGain, 1/float64(m.streams))
 	m.tokens += gain * (tokens - m.tokens)
 	m.seconds += gain * (seconds - m.seconds)
-	m.load += gain * (streams*seconds - m.load)
+	m.streamSeconds += gain * (streams*seconds - m.streamSeconds)
 }
 
-// enough tells whether the sums can be relied on.
-func (m *measured) enough() bool { return m.streams >= minStreams }
+// reliable reports whether enough streams were measured to use the averages.
+func (m *streamStats) reliable() bool { return m.streams >= minMeasuredStreams }
 
-// throughput is the server's tokens per second, by Little's law: the pace of
-// the streams bound to it times their number, both averaged over time. It holds
-// wherever on their paths the streams wait.
-func (m *measured) throughput() float64 {
-	return m.tokens / m.seconds * m.load / m.seconds
+// throughput returns the server's tokens per second by Little's law: the tokens
+// per second of one stream times the mean number of streams on the server. This is
+// correct wherever on their paths the streams wait.
+func (m *streamStats) throughput() float64 {
+	return m.tokens / m.seconds * m.streamSeconds / m.seconds
 }
 
-// pass lets time go by for the server's load.
-func (s *server) pass(now time.Duration) {
-	if now > s.areaAt {
-		s.area += float64(s.streams(s.areaAt)) * (now - s.areaAt).Seconds()
-		s.areaAt = now
+// accumulate extends the integral of the server's streams up to now.
+func (s *server) accumulate(now time.Duration) {
+	if now > s.streamSecondsAt {
+		s.streamSeconds += float64(s.streams(s.streamSecondsAt)) * (now - s.streamSecondsAt).Seconds()
+		s.streamSecondsAt = now
 	}
 }
 
-// count changes the streams in flight of this VM.
-func (s *server) count(now time.Duration, change int) {
-	s.pass(now)
+// addInFlight changes the number of this VM's streams on the server.
+func (s *server) addInFlight(now time.Duration, change int) {
+	s.accumulate(now)
 	s.inFlight += change
-	if now-s.history[s.newest].at >= historySpacing {
-		s.newest = (s.newest + 1) % historyLength
-		s.history[s.newest].at = now
+	if now-s.history[s.historyNewest].at >= historyInterval {
+		s.historyNewest = (s.historyNewest + 1) % historyLength
+		s.history[s.historyNewest].at = now
 	}
-	s.history[s.newest].inFlight = s.inFlight
+	s.history[s.historyNewest].inFlight = s.inFlight
 }
 
-// inFlightAt is the number of this VM's streams at a time in the past.
+// inFlightAt returns the number of this VM's streams on the server at a time in
+// the past.
 func (s *server) inFlightAt(at time.Duration) int {
 	for back := range historyLength {
-		p := s.history[(s.newest-back+historyLength)%historyLength]
-		if p.at <= at {
-			return p.inFlight
+		entry := s.history[(s.historyNewest-back+historyLength)%historyLength]
+		if entry.at <= at {
+			return entry.inFlight
 		}
 	}
-	return s.history[(s.newest+1)%historyLength].inFlight
+	return s.history[(s.historyNewest+1)%historyLength].inFlight
 }
 
-// takeReport notes a report, unless a newer one is known. Only the part of it
-// that other VMs caused is kept: this VM's own part is known better from its own
-// counts. Otherwise every choice until the next report would see the same
-// number and all would go to the one server that looked empty.
-func (s *server) takeReport(now time.Duration, report Report) {
+// applyReport stores a report unless a newer one is known. It keeps only the
+// number of other VMs' streams, since this VM's own streams are counted exactly.
+// With the total of the report, every choice until the next one would see the same
+// number, and all would go to the one server that seemed idle.
+func (s *server) applyReport(now time.Duration, report Report) {
 	if s.reported && report.At <= s.report.At {
 		return
 	}
-	s.pass(now)
+	s.accumulate(now)
 	s.report = report
 	s.reported = true
-	s.batch = max(s.batch, report.Running)
-	s.others = max(report.Running+report.Waiting-s.inFlightAt(report.At), 0)
+	s.maxBatch = max(s.maxBatch, report.Running)
+	s.otherStreams = max(report.Running+report.Waiting-s.inFlightAt(report.At), 0)
 }
 
-// streams estimates all VMs' streams on the server.
+// streams estimates the number of all VMs' streams on the server.
 func (s *server) streams(now time.Duration) int {
-	if !s.reported || now-s.report.At > reportLife {
+	if !s.reported || now-s.report.At > maxReportAge {
 		return s.inFlight
 	}
-	return s.inFlight + s.others
+	return s.inFlight + s.otherStreams
 }
 
-// secondsPerToken estimates how long one more stream would wait for each of its
-// tokens at this server, if all its streams were there.
+// secondsPerToken estimates the time per token of one more stream at this server,
+// if all its streams waited there and not at other stages.
 func (s *server) secondsPerToken(now time.Duration) float64 {
 	return float64(s.streams(now)+1) / (s.capacity * s.ramp(now))
 }
 
-// ramp is the part of its capacity that the server is credited with. A server
-// that comes back has no streams, so it would get every new one; if it is
-// flapping all of them are lost again at once. Credit grows slowly, and more
-// slowly with each return.
+// ramp returns the fraction of its capacity at which the server is rated. A server
+// that becomes eligible again has no streams, so it would get every new one, and
+// if it is flapping all of them would fail at once. The fraction grows linearly,
+// over a time that doubles with each recovery up to maxRampDuration.
 func (s *server) ramp(now time.Duration) float64 {
-	if s.returns == 0 {
+	if s.recoveries == 0 {
 		return 1
 	}
-	lasts := min(rampBase<<min(s.returns-1, 16), rampLimit)
-	passed := now - s.eligibleSince
-	if passed >= lasts {
+	duration := min(minRampDuration<<min(s.recoveries-1, 16), maxRampDuration)
+	elapsed := now - s.eligibleSince
+	if elapsed >= duration {
 		return 1
 	}
-	return max(rampStart, float64(passed)/float64(lasts))
+	return max(rampStart, float64(elapsed)/float64(duration))
 }
 
-// setEligible notes a change of eligibility.
+// setEligible sets the eligibility and counts recoveries.
 func (s *server) setEligible(now time.Duration, eligible bool) {
 	switch {
 	case eligible && !s.Eligible && s.wasEligible:
-		if now-s.eligibleSince > calmAfter {
-			s.returns = 0
+		if now-s.eligibleSince > stableAfter {
+			s.recoveries = 0
 		}
-		s.returns++
+		s.recoveries++
 		s.eligibleSince = now
 	case eligible && !s.wasEligible:
 		s.eligibleSince = now
@@ -210,51 +220,50 @@
 	s.Eligible = eligible
 }
 
-// run is what one stream showed of a server on its path.
-type run struct {
+// streamSample is the measurement of one stream on a server of its path.
+type streamSample struct {
 	tokens, seconds float64
-	// area is the server's at the start of the run.
-	area float64
+	// streamSeconds is the server's streamSeconds at the start of the sample.
+	streamSeconds float64
 }
 
-// learn takes a run into the server's capacity. Two measurements each bound the
-// capacity from below, and one of them is near it: when tokens queue, the
-// server's throughput; when none do, the places of its batch over the time that
-// a token takes.
-func (s *server) learn(r run) {
-	load := (s.area - r.area) / r.seconds
-	s.measured.add(r.tokens, r.seconds, load)
-	if !s.measured.enough() {
+// updateCapacity updates the estimated capacity by a sample. There are two lower
+// bounds of the capacity, and the higher one is close to it: the throughput, if
+// tokens queue, and the batch size divided by the time per token, if none do.
+func (s *server) updateCapacity(sample streamSample) {
+	meanStreams := (s.streamSeconds - sample.streamSeconds) / sample.seconds
+	s.stats.add(sample.tokens, sample.seconds, meanStreams)
+	if !s.stats.reliable() {
 		return
 	}
-	shown := max(s.measured.throughput(), float64(s.batch)/s.stageSeconds)
-	if s.estimate == 0 {
-		s.estimate = shown
+	measured := max(s.stats.throughput(), float64(s.maxBatch)/s.stageSeconds)
+	if s.estimatedCapacity == 0 {
+		s.estimatedCapacity = measured
 	}
-	s.estimate += correctGain * (shown - s.estimate)
-	s.capacity = s.estimate
-	if s.TokensPerSecond > 0 && s.estimate < s.claimed*trustBand && s.estimate > s.claimed/trustBand {
-		s.capacity = s.claimed
+	s.estimatedCapacity += estimateGain * (measured - s.estimatedCapacity)
+	s.capacity = s.estimatedCapacity
+	if s.TokensPerSecond > 0 && s.estimatedCapacity < s.nominalCapacity*capacityNoiseFactor && s.estimatedCapacity > s.nominalCapacity/capacityNoiseFactor {
+		s.capacity = s.nominalCapacity
 	}
 	s.capacity = max(s.capacity, math.SmallestNonzeroFloat32)
 }
 
-// apportion corrects what each stage of a path is thought to take by what a
-// token took on the whole path. Which stage is slow shows from the streams that
-// it shares with different others.
-func apportion(servers []*server, secondsPerToken float64) {
+// updateStageTimes corrects the estimated times of a path's stages by the measured
+// time per token of the whole path. A slow stage shows over several streams, which
+// share it but differ in their other stages.
+func updateStageTimes(servers []*server, secondsPerToken float64) {
 	layers := 0
 	for _, s := range servers {
 		layers += max(s.Layers.Len(), 1)
 	}
-	thought := 0.0
+	estimated := 0.0
 	for _, s := range servers {
 		if s.stageSeconds == 0 {
 			s.stageSeconds = secondsPerToken * float64(max(s.Layers.Len(), 1)) / float64(layers)
 		}
-		thought += s.stageSeconds
+		estimated += s.stageSeconds
 	}
-	correction := 1 + stageGain*(secondsPerToken-thought)/max(thought, secondsPerToken)
+	correction := 1 + stageTimeGain*(secondsPerToken-estimated)/max(estimated, secondsPerToken)
 	for _, s := range servers {
 		s.stageSeconds *= correction
 	}
--- a/internal/core/route/observe.go
+++ b/internal/core/route/observe.go
@@ -6,81 +6,80 @@
 	"time"
 )
 
-// SetServers replaces the servers to choose from. Loads and what was learned
-// stay with servers that are known already; the cost of a call is in proportion
-// to the list, that of the next choice to what changed. Use SetServer for a
-// change of one server.
+// SetServers replaces the servers to choose from. Servers that are known already
+// keep their loads and estimates. A call costs time in proportion to the list, and
+// the next choice in proportion to the changes. Use SetServer to change one server.
 func (r *Router) SetServers(servers []Server) {
-	named := make(map[string]struct{}, len(servers))
+	listed := make(map[string]struct{}, len(servers))
 	for _, s := range servers {
-		named[s.Name] = struct{}{}
+		listed[s.Name] = struct{}{}
 		r.SetServer(s)
 	}
 	for name := range r.servers {
-		if _, ok := named[name]; !ok {
+		if _, ok := listed[name]; !ok {
 			r.RemoveServer(name)
 		}
 	}
 }
 
-// SetServer adds a server or changes what is known of it.
-func (r *Router) SetServer(desired Server) {
-	s, ok := r.servers[desired.Name]
+// SetServer adds or updates a server.
+func (r *Router) SetServer(updated Server) {
+	s, ok := r.servers[updated.Name]
 	if !ok {
-		s = &server{Server: Server{Name: desired.Name}}
-		r.servers[desired.Name] = s
+		s = &server{Server: Server{Name: updated.Name}}
+		r.servers[updated.Name] = s
 	}
-	if s.Server == desired && ok {
+	if s.Server == updated && ok {
 		return
 	}
 	r.detach(s)
-	if s.Incarnation != desired.Incarnation {
-		r.restarted(s)
+	if s.Incarnation != updated.Incarnation {
+		r.resetObservations(s)
 	}
-	s.setEligible(r.now, desired.Eligible)
-	claimed := s.TokensPerSecond
-	s.Server = desired
-	if s.capacity == 0 || claimed != desired.TokensPerSecond {
-		s.claimed = r.startCapacity(desired)
-		s.capacity = s.claimed
-		s.measured = measured{}
+	s.setEligible(r.now, updated.Eligible)
+	recorded := s.TokensPerSecond
+	s.Server = updated
+	if s.capacity == 0 || recorded != updated.TokensPerSecond {
+		s.nominalCapacity = r.initialCapacity(updated)
+		s.capacity = s.nominalCapacity
+		s.stats = streamStats{}
 	}
 	r.attach(s)
 }
 
-// RemoveServer forgets a server. Streams that it still runs stay counted until
-// they are released.
+// RemoveServer removes a server. Its streams stay assigned until they are
+// released.
 func (r *Router) RemoveServer(name string) {
 	s, ok := r.servers[name]
 	if !ok {
 		return
 	}
 	r.detach(s)
-	r.prefixes.forget(s)
+	r.prefixes.removeServer(s)
 	delete(r.servers, name)
 }
 
-func (r *Router) restarted(s *server) {
+func (r *Router) resetObservations(s *server) {
 	s.reported = false
-	s.others = 0
-	s.batch = 0
-	s.measured = measured{}
+	s.otherStreams = 0
+	s.maxBatch = 0
+	s.stats = streamStats{}
 	s.stageSeconds = 0
-	r.prefixes.forget(s)
+	r.prefixes.removeServer(s)
 }
 
-// startCapacity is the record's figure. Without one it is the same for all
-// servers of the model for as many layers: only ratios count until streams have
-// been measured.
-func (r *Router) startCapacity(desired Server) float64 {
-	if desired.TokensPerSecond > 0 {
-		return desired.TokensPerSecond
-	}
-	g := r.graphs[graphKey{desired.Model, desired.Version}]
-	if g == nil || desired.Layers.Len() <= 0 {
-		return 1 / float64(max(desired.Layers.Len(), 1))
-	}
-	return g.meanClaim() / float64(desired.Layers.Len())
+// initialCapacity returns the capacity of the server's record. Without one it
+// assumes the model's mean nominal capacity per layer: until streams are measured,
+// only the ratios between servers matter.
+func (r *Router) initialCapacity(s Server) float64 {
+	if s.TokensPerSecond > 0 {
+		return s.TokensPerSecond
+	}
+	g := r.graphs[graphKey{s.Model, s.Version}]
+	if g == nil || s.Layers.Len() <= 0 {
+		return 1 / float64(max(s.Layers.Len(), 1))
+	}
+	return g.meanNominalCapacity() / float64(s.Layers.Len())
 }
 
 func (r *Router) attach(s *server) {
@@ -128,7 +127,7 @@
 	}
 }
 
-// SetLink notes what is known of the way between two data centres.
+// SetLink adds or updates the link between two data centres.
 func (r *Router) SetLink(link Link) {
 	key := linkKey{link.From, link.To}
 	if r.links[key] == link {
@@ -136,20 +135,20 @@
 	}
 	r.links[key] = link
 	for _, g := range r.graphs {
-		g.urgent = true
+		g.recomputeNow = true
 	}
 }
 
-// Observe takes a server's load report in.
+// Observe applies a server's load report.
 func (r *Router) Observe(now time.Duration, report Report) {
 	r.Advance(now)
 	if s, ok := r.servers[report.Server]; ok {
-		s.takeReport(now, report)
+		s.applyReport(now, report)
 	}
 }
 
-// ObserveCache takes a server's cache events in. Those of another incarnation
-// than the one that is known are dropped.
+// ObserveCache applies a server's cache events. Events of another incarnation than
+// the known one are ignored.
 func (r *Router) ObserveCache(name string, incarnation uint64, events []CacheEvent) {
 	s, ok := r.servers[name]
 	if !ok || s.Incarnation != 0 && s.Incarnation != incarnation {
@@ -160,28 +159,28 @@
 	}
 }
 
-// Progress tells how many tokens of a request's answer have been delivered, over
-// all its attempts. The pace since the last call is what capacities are
-// learned from. Call it at the end of an attempt, before Release, and now and
-// then for a long one.
+// Progress records how many tokens of a request's answer have been delivered, over
+// all its attempts. The token rate since the last call updates the estimated
+// capacities of the path's servers. Call it at the end of an attempt, before
+// Release, and from time to time during a long one.
 func (r *Router) Progress(id string, now time.Duration, delivered int) {
 	r.Advance(now)
-	h, ok := r.held[id]
-	tokens := delivered - h.delivered
-	if !ok || tokens < minSampleTokens || now <= h.since {
+	a, ok := r.assignments[id]
+	tokens := delivered - a.delivered
+	if !ok || tokens < minSampleTokens || now <= a.sampleStart {
 		return
 	}
-	seconds := (now - h.since).Seconds()
-	apportion(h.servers, max(seconds/float64(tokens)-h.links, 0))
-	for i, s := range h.servers {
-		s.pass(now)
+	seconds := (now - a.sampleStart).Seconds()
+	updateStageTimes(a.servers, max(seconds/float64(tokens)-a.linkDelay, 0))
+	for i, s := range a.servers {
+		s.accumulate(now)
 		before := s.capacity
-		s.learn(run{tokens: float64(tokens), seconds: seconds, area: h.areas[i]})
-		h.areas[i] = s.area
+		s.updateCapacity(streamSample{tokens: float64(tokens), seconds: seconds, streamSeconds: a.streamSeconds[i]})
+		a.streamSeconds[i] = s.streamSeconds
 		if g := r.graphs[graphKey{s.Model, s.Version}]; g != nil && s.class != nil && s.Service == "" {
-			g.learned(s.capacity - before)
+			g.addDrift(s.capacity - before)
 		}
 	}
-	h.since, h.delivered = now, delivered
-	r.held[id] = h
+	a.sampleStart, a.delivered = now, delivered
+	r.assignments[id] = a
 }
--- a/internal/core/route/queueing_test.go
+++ b/internal/core/route/queueing_test.go
@@ -10,10 +10,10 @@
 	"oleandershunt.example/oleandershunt/internal/core/route"
 )
 
-// The queueing model: every stage has as many places as its batch, each token of
-// a stream passes the stages of its path in order and takes the stage's step
-// time in a place, first come first served. VMs choose paths by routers of
-// their own and learn of each other's streams by lagging reports alone.
+// A queueing simulation in virtual time. A server processes as many tokens at once
+// as its batch size, first come first served, and each takes its step time. Every
+// token of a stream passes the stages of the path in order. Each VM has its own
+// router and learns of other VMs' streams only from delayed load reports.
 
 const (
 	modelLayers   = 24
@@ -22,9 +22,9 @@
 	vmCount       = 9
 )
 
-var sites = []string{"bornova", "gaziemir", "karsiyaka"}
+var dataCentres = []string{"bornova", "gaziemir", "karsiyaka"}
 
-type engineModel struct {
+type simulatedServer struct {
 	route.Server
 	stepTime time.Duration
 	batch    int
@@ -37,7 +37,7 @@
 type stream struct {
 	id      string
 	vm      int
-	stages  []*engineModel
+	stages  []*simulatedServer
 	stage   int
 	tokens  int
 	wanted  int
@@ -65,7 +65,7 @@
 	return last
 }
 
-// workload says what a run offers to which routers.
+// workload configures a simulation.
 type workload struct {
 	policy  route.Policy
 	seed    uint64
@@ -75,41 +75,42 @@
 	load     float64
 	duration time.Duration
 	warmUp   time.Duration
-	// claim distorts the records' capacities, given the true one.
-	claim func(i int, capacity float64) float64
-	delay time.Duration
-	// limit bounds the streams in flight. 0 refuses nothing.
+	// recordedCapacity returns the capacity in the record of server i, given the
+	// true one. If nil the records are correct.
+	recordedCapacity func(i int, capacity float64) float64
+	delay            time.Duration
+	// limit bounds the streams in flight. 0 means no limit.
 	limit int
-	// lag is a report's mean age on arrival.
+	// lag is the mean age of a report on arrival.
 	lag time.Duration
 }
 
-// outcome is what a run measured after its warm-up.
-type outcome struct {
-	bound    float64
-	held     float64
-	finished int
-	tokenGap time.Duration
+// simulationResult holds the measurements after the warm-up.
+type simulationResult struct {
+	bound      float64
+	throughput float64
+	finished   int
+	tokenGap   time.Duration
 }
 
-type queueing struct {
-	workload workload
-	now      time.Duration
-	events   eventQueue
-	seq      int
-	engines  map[string]*engineModel
-	ordered  []*engineModel
-	routers  []*route.Router
-	random   *rand.Rand
-	started  int
-	inFlight int
-	result   outcome
-	gaps     time.Duration
+type simulation struct {
+	workload   workload
+	now        time.Duration
+	events     eventQueue
+	seq        int
+	engines    map[string]*simulatedServer
+	ordered    []*simulatedServer
+	routers    []*route.Router
+	random     *rand.Rand
+	started    int
+	inFlight   int
+	result     simulationResult
+	streamTime time.Duration
 }
 
-// unlikeServers are 30 servers of five kinds, each of which holds 6, 12 or 24
-// layers, spread unevenly over three data centres.
-func unlikeServers() []*engineModel {
+// heterogeneousServers returns 30 servers of five kinds with 6, 12, 18 or 24 layers
+// each, spread unevenly over three data centres.
+func heterogeneousServers() []*simulatedServer {
 	kinds := []struct {
 		perLayer time.Duration
 		batch    int
@@ -126,16 +127,16 @@
 		{From: 0, To: 12},
 		{From: 12, To: 24},
 	}
-	var servers []*engineModel
+	var servers []*simulatedServer
 	for i := range 30 {
 		kind := kinds[(i*7+i/10)%len(kinds)]
 		layers := ranges[i%len(ranges)]
 		step := time.Duration(layers.Len()) * kind.perLayer
-		servers = append(servers, &engineModel{
+		servers = append(servers, &simulatedServer{
 			Server: route.Server{
 				Name:            fmt.Sprintf("server-%02d", i),
 				Address:         fmt.Sprintf("10.0.0.%d:80", i),
-				DataCentre:      sites[(i*i+i/3)%len(sites)],
+				DataCentre:      dataCentres[(i*i+i/3)%len(dataCentres)],
 				Model:           "scorer",
 				Version:         "1",
 				Layers:          layers,
@@ -150,23 +151,23 @@
 	return servers
 }
 
-func runQueueing(w workload) outcome {
-	q := &queueing{workload: w, engines: make(map[string]*engineModel), random: rand.New(rand.NewPCG(w.seed, 7))}
-	q.ordered = unlikeServers()
-	var truth, claimed []route.Server
+func simulate(w workload) simulationResult {
+	q := &simulation{workload: w, engines: make(map[string]*simulatedServer), random: rand.New(rand.NewPCG(w.seed, 7))}
+	q.ordered = heterogeneousServers()
+	var actual, recorded []route.Server
 	for i, e := range q.ordered {
 		q.engines[e.Name] = e
-		truth = append(truth, e.Server)
-		claim := e.Server
-		if w.claim != nil {
-			claim.TokensPerSecond = w.claim(i, claim.TokensPerSecond)
+		actual = append(actual, e.Server)
+		record := e.Server
+		if w.recordedCapacity != nil {
+			record.TokensPerSecond = w.recordedCapacity(i, record.TokensPerSecond)
 		}
-		claimed = append(claimed, claim)
+		recorded = append(recorded, record)
 	}
-	oracle := q.newRouter(0, truth)
-	q.result.bound = oracle.Bound("scorer", "1", modelLayers).TokensPerSecond
+	router := q.newRouter(0, actual)
+	q.result.bound = router.Bound("scorer", "1", modelLayers).TokensPerSecond
 	for vm := range w.vms {
-		q.routers = append(q.routers, q.newRouter(vm, claimed))
+		q.routers = append(q.routers, q.newRouter(vm, recorded))
 	}
 	q.at(0, q.report)
 	q.arrive()
@@ -177,20 +178,20 @@
 		next.run()
 	}
 	measured := (w.duration - w.warmUp).Seconds()
-	q.result.tokenGap = q.gaps / time.Duration(max(q.result.held, 1))
-	q.result.held /= measured
+	q.result.tokenGap = q.streamTime / time.Duration(max(q.result.throughput, 1))
+	q.result.throughput /= measured
 	return q.result
 }
 
-func (q *queueing) newRouter(vm int, servers []route.Server) *route.Router {
+func (q *simulation) newRouter(vm int, servers []route.Server) *route.Router {
 	router := route.New(route.Options{
 		Policy:     q.workload.policy,
-		DataCentre: sites[vm%len(sites)],
+		DataCentre: dataCentres[vm%len(dataCentres)],
 		Seed:       q.workload.seed + uint64(vm),
 		Choices:    q.workload.choices,
 	})
-	for _, from := range sites {
-		for _, to := range sites {
+	for _, from := range dataCentres {
+		for _, to := range dataCentres {
 			if from != to {
 				router.SetLink(route.Link{From: from, To: to, Delay: q.workload.delay})
 			}
@@ -200,13 +201,13 @@
 	return router
 }
 
-func (q *queueing) at(delay time.Duration, run func()) {
+func (q *simulation) at(delay time.Duration, run func()) {
 	q.seq++
 	heap.Push(&q.events, event{at: q.now + delay, seq: q.seq, run: run})
 }
 
-// report lets every server tell its load, which every VM hears late.
-func (q *queueing) report() {
+// report sends every server's load report to every VM, with a random delay.
+func (q *simulation) report() {
 	for _, e := range q.ordered {
 		report := route.Report{
 			Server:  e.Name,
@@ -224,8 +225,8 @@
 
 const meanTokens = 100
 
-// arrive starts a stream and plans the next arrival.
-func (q *queueing) arrive() {
+// arrive starts a stream, unless it is refused, and schedules the next arrival.
+func (q *simulation) arrive() {
 	rate := q.workload.load * q.result.bound / meanTokens
 	q.at(time.Duration(q.random.ExpFloat64()/rate*float64(time.Second)), q.arrive)
 	if q.now == 0 || q.workload.limit > 0 && q.inFlight >= q.workload.limit {
@@ -247,14 +248,14 @@
 	q.enter(s)
 }
 
-// enter puts a stream's token into its stage's queue.
-func (q *queueing) enter(s *stream) {
+// enter adds a stream's token to the queue of its current stage.
+func (q *simulation) enter(s *stream) {
 	e := s.stages[s.stage]
 	e.queue = append(e.queue, s)
 	q.serve(e)
 }
 
-func (q *queueing) serve(e *engineModel) {
+func (q *simulation) serve(e *simulatedServer) {
 	for e.busy < e.batch && len(e.queue) > 0 {
 		s := e.queue[0]
 		e.queue = e.queue[1:]
@@ -267,32 +268,33 @@
 	}
 }
 
-// leave takes a token out of a stage, towards the next one or the caller.
-func (q *queueing) leave(s *stream) {
-	before := s.stages[s.stage]
+// leave moves a token from its stage to the next one or to the caller.
+func (q *simulation) leave(s *stream) {
+	previous := s.stages[s.stage]
 	s.stage = (s.stage + 1) % len(s.stages)
-	if s.stage == 0 && q.tokenMade(s) {
+	if s.stage == 0 && q.countToken(s) {
 		return
 	}
-	if s.stages[s.stage].DataCentre == before.DataCentre {
+	if s.stages[s.stage].DataCentre == previous.DataCentre {
 		q.enter(s)
 		return
 	}
 	q.at(q.workload.delay, func() { q.enter(s) })
 }
 
-// tokenMade counts a token and tells whether it was the stream's last.
-func (q *queueing) tokenMade(s *stream) bool {
+// countToken counts a token and reports whether it was the stream's last. After
+// the last it ends the stream.
+func (q *simulation) countToken(s *stream) bool {
 	s.tokens++
 	if q.now >= q.workload.warmUp {
-		q.result.held++
+		q.result.throughput++
 	}
 	if s.tokens < s.wanted {
 		return false
 	}
 	if q.now >= q.workload.warmUp {
 		q.result.finished++
-		q.gaps += q.now - s.started
+		q.streamTime += q.now - s.started
 	}
 	for _, e := range s.stages {
 		e.streams--
--- a/internal/core/route/reroute.go
+++ b/internal/core/route/reroute.go
@@ -2,58 +2,58 @@
 
 import "slices"
 
-// Reroute mends the path of an attempt that broke: the stages of old whose
-// server still lives stay, since they hold the stream's KV cache, and only the
-// others are replaced. Where a gap can't be filled it chooses a whole new path.
-// Lost servers are treated like request.Avoid: they come back only when there
-// is no other way.
+// Reroute repairs the path of a failed attempt: it keeps the stages of old whose
+// servers still run, since they have the stream's KV cache, and replaces the
+// others. If a gap can't be filled it chooses an entirely new path. The lost
+// servers are treated like those of request.Avoid, as a last resort.
 //
-// Call it in place of Choose for every attempt but the first, with the former
-// attempt's path as old; the new path is counted in place of the old one
-// whether or not Release was called in between. Each replacement counts at once,
-// so that many streams which lose one server spread over all that can stand in.
+// Call it instead of Choose for every attempt after the first, with the previous
+// attempt's path as old. The new path replaces the old one as load, whether or not
+// Release was called in between. Each replacement counts as load immediately, so
+// that the streams of a lost server spread over all possible replacements.
 func (r *Router) Reroute(request Request, old Path, lost []string) (Path, error) {
 	r.Advance(request.Now)
 	request.Avoid = slices.Concat(request.Avoid, lost)
 	if request.Service != "" {
 		return r.Choose(request)
 	}
-	path, ok := r.mend(request, old)
+	path, ok := r.replaceLost(request, old)
 	if !ok {
 		return r.Choose(request)
 	}
-	return r.hold(request, path), nil
+	return r.assign(request, path), nil
 }
 
-// Standby is the path that Reroute would give now if a server of the path were
-// lost. Nothing is counted.
+// Standby returns the path that Reroute would return if a server of the path were
+// lost now. It doesn't count the path as load.
 func (r *Router) Standby(request Request, path Path, lost string) (Path, error) {
 	request.Avoid = append(slices.Clone(request.Avoid), lost)
-	if steps, ok := r.mend(request, path); ok {
+	if steps, ok := r.replaceLost(request, path); ok {
 		return pathOf(steps), nil
 	}
-	steps, err := r.find(request)
+	steps, err := r.findPath(request)
 	if err != nil {
 		return nil, err
 	}
 	return pathOf(steps), nil
 }
 
-// mend replaces the runs of lost stages.
-func (r *Router) mend(request Request, old Path) ([]step, bool) {
+// replaceLost keeps the usable stages of a path and fills the gaps between them.
+// It reports false if a gap can't be filled.
+func (r *Router) replaceLost(request Request, old Path) ([]step, bool) {
 	g := r.graphFor(request)
 	if g == nil || len(old) == 0 {
 		return nil, false
 	}
-	d := r.drawing(g, &request)
+	d := r.newDecision(g, &request)
 	d.strict = true
 	kept := make([]step, len(old))
 	for i, stage := range old {
-		kept[i] = r.kept(d, stage)
+		kept[i] = r.keptStep(d, stage)
 	}
-	// A server that runs another stage already is left alone: its KV cache of
-	// this stream would be wanted for two ranges.
-	d.taken = kept
+	// A server of a kept stage can't take another one too: it would need KV
+	// caches of this stream for two ranges.
+	d.kept = kept
 	var steps []step
 	for i := 0; i < len(old); i++ {
 		if kept[i].server != nil {
@@ -65,7 +65,7 @@
 			i++
 			gap.To = old[i].Layers.To
 		}
-		filled, ok := d.search(gap, lastSite(g, steps), nextSite(kept, i+1))
+		filled, ok := d.search(gap, lastDataCentre(g, steps), nextDataCentre(kept, i+1))
 		if !ok {
 			return nil, false
 		}
@@ -74,35 +74,36 @@
 	return steps, true
 }
 
-// kept is the stage's step if its server can go on with the stream: it may be
-// used, holds the layers, and is the process that has the KV cache. Otherwise the
-// step has no server.
-func (r *Router) kept(d *drawing, stage Stage) step {
+// keptStep returns the step for a stage whose server can continue the stream: it
+// isn't excluded, has the layers loaded, and is the process with the KV cache.
+// Otherwise the step has no server.
+func (r *Router) keptStep(d *decision, stage Stage) step {
 	s, ok := r.servers[stage.Server]
-	if !ok || s.class == nil || d.barred(s) || r.graphs[graphKey{s.Model, s.Version}] != d.graph {
+	if !ok || s.class == nil || d.excluded(s) || r.graphs[graphKey{s.Model, s.Version}] != d.graph {
 		return step{}
 	}
-	held := s.Layers.From <= stage.Layers.From && stage.Layers.To <= s.Layers.To
+	loaded := s.Layers.From <= stage.Layers.From && stage.Layers.To <= s.Layers.To
 	restarted := stage.Incarnation != 0 && s.Incarnation != 0 && stage.Incarnation != s.Incarnation
-	if !held || restarted {
+	if !loaded || restarted {
 		return step{}
 	}
-	return step{server: s, site: s.class.site, layers: stage.Layers}
+	return step{server: s, dataCentre: s.class.dataCentre, layers: stage.Layers}
 }
 
-func lastSite(g *graph, steps []step) int {
+func lastDataCentre(g *graph, steps []step) int {
 	if len(steps) == 0 {
-		return g.home
+		return g.localDC
 	}
-	return steps[len(steps)-1].site
+	return steps[len(steps)-1].dataCentre
 }
 
-// nextSite is the site of the kept stage after a gap, or -1 at the path's end.
-func nextSite(kept []step, next int) int {
+// nextDataCentre returns the data centre of the kept stage after a gap, or -1 at
+// the path's end.
+func nextDataCentre(kept []step, next int) int {
 	if next == len(kept) {
 		return -1
 	}
-	return kept[next].site
+	return kept[next].dataCentre
 }
 
 func pathOf(steps []step) Path {
--- a/internal/core/route/search.go
+++ b/internal/core/route/search.go
@@ -8,88 +8,91 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// reached is the best way known to a cut and site.
-type reached struct {
+// searchState is the best known partial path to a cut and data centre.
+type searchState struct {
 	cost float64
-	// step is the last stage of the way; from indexes the state before it.
-	step step
-	from int
-	set  bool
+	// step is the last stage of the partial path, and previous the index of the
+	// state before it.
+	step     step
+	previous int
+	visited  bool
 }
 
 // search finds the path with the least estimated time per token through a range
-// of layers, from one site to another, over all classes and not only those the
-// flow uses. A server may run a part of what it holds. It is used where drawing
-// fails and to mend a path.
+// of layers, from one data centre to another, over all classes and not only those
+// with flow. A server may run a part of its range. search is used if sampling
+// fails, and to fill the gaps of a path.
 //
-// The range's ends need not be cuts. to < 0 as end site leaves the end open.
-func (d *drawing) search(layers api.Layers, fromSite, toSite int) ([]step, bool) {
+// The ends of the range need not be cuts. The path may end in any data centre if
+// the index to is negative.
+func (d *decision) search(layers api.Layers, from, to int) ([]step, bool) {
 	g := d.graph
 	cuts := g.cutsWithin(layers)
-	sites := len(g.sites)
-	states := make([]reached, len(cuts)*sites)
-	states[fromSite] = reached{set: true, from: -1}
+	dataCentres := len(g.dataCentres)
+	states := make([]searchState, len(cuts)*dataCentres)
+	states[from] = searchState{visited: true, previous: -1}
 	for i, cut := range cuts[:len(cuts)-1] {
-		for site := range sites {
-			if states[i*sites+site].set {
-				d.expand(states, cuts, i*sites+site, cut, site)
+		for dc := range dataCentres {
+			if states[i*dataCentres+dc].visited {
+				d.expand(states, cuts, i*dataCentres+dc, cut, dc)
 			}
 		}
 	}
 	best := -1
 	least := math.Inf(1)
-	for site := range sites {
-		state := states[(len(cuts)-1)*sites+site]
-		cost, open := state.cost, true
-		if toSite >= 0 {
-			cost += g.delays[site][toSite]
-			open = g.open[site][toSite]
+	for dc := range dataCentres {
+		state := states[(len(cuts)-1)*dataCentres+dc]
+		cost, linkUp := state.cost, true
+		if to >= 0 {
+			cost += g.delays[dc][to]
+			linkUp = g.linkUp[dc][to]
 		}
-		if state.set && open && cost < least {
-			best, least = (len(cuts)-1)*sites+site, cost
+		if state.visited && linkUp && cost < least {
+			best, least = (len(cuts)-1)*dataCentres+dc, cost
 		}
 	}
 	if best < 0 {
 		return nil, false
 	}
-	return trace(states, best), true
+	return backtrack(states, best), true
 }
 
-// expand tries every class that holds the layer at a cut.
-func (d *drawing) expand(states []reached, cuts []int, from, cut, site int) {
+// expand extends the state at index from by every class that has the layer at its
+// cut loaded.
+func (d *decision) expand(states []searchState, cuts []int, from, cut, dc int) {
 	g := d.graph
 	last := cuts[len(cuts)-1]
 	for _, c := range g.ordered {
-		held := c.key.layers
-		if held.From > cut || held.To <= cut || !g.open[site][c.site] {
+		loaded := c.key.layers
+		if loaded.From > cut || loaded.To <= cut || !g.linkUp[dc][c.dataCentre] {
 			continue
 		}
 		s := d.choose(c)
 		if s == nil {
 			continue
 		}
-		run := api.Layers{From: cut, To: min(held.To, last)}
-		share := float64(run.Len()) / float64(held.Len())
-		cost := states[from].cost + g.delays[site][c.site] + s.secondsPerToken(d.now)*share
+		run := api.Layers{From: cut, To: min(loaded.To, last)}
+		share := float64(run.Len()) / float64(loaded.Len())
+		cost := states[from].cost + g.delays[dc][c.dataCentre] + s.secondsPerToken(d.now)*share
 		end, _ := slices.BinarySearch(cuts, run.To)
-		to := end*len(g.sites) + c.site
-		if !states[to].set || cost < states[to].cost {
-			states[to] = reached{cost: cost, step: step{server: s, site: c.site, layers: run}, from: from, set: true}
+		to := end*len(g.dataCentres) + c.dataCentre
+		if !states[to].visited || cost < states[to].cost {
+			states[to] = searchState{cost: cost, step: step{server: s, dataCentre: c.dataCentre, layers: run}, previous: from, visited: true}
 		}
 	}
 }
 
-func trace(states []reached, at int) []step {
+func backtrack(states []searchState, at int) []step {
 	var steps []step
-	for states[at].from >= 0 {
+	for states[at].previous >= 0 {
 		steps = append(steps, states[at].step)
-		at = states[at].from
+		at = states[at].previous
 	}
 	slices.Reverse(steps)
 	return steps
 }
 
-// cutsWithin is the cuts inside a range with the range's ends.
+// cutsWithin returns the cuts inside a range and the range's ends.
 func (g *graph) cutsWithin(layers api.Layers) []int {
 	cuts := []int{layers.From, layers.To}
 	for _, cut := range g.cuts {
--- a/internal/core/route/types.go
+++ b/internal/core/route/types.go
@@ -11,136 +11,144 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// Policy names a way to choose paths.
+// Policy is the algorithm that chooses paths.
 type Policy string
 
-// The policies. All but PolicyMaxFlow are baselines to measure against.
+// The policies. All but PolicyMaxFlow are baselines for comparison.
 const (
-	// PolicyMaxFlow draws paths in proportion to the maximum flow, corrected by live load.
+	// PolicyMaxFlow samples paths in proportion to the maximum flow and takes the
+	// least loaded of the sample.
 	PolicyMaxFlow Policy = "max_flow"
-	// PolicyLeastInFlight takes, stage by stage, the server with the fewest streams of this VM.
+	// PolicyLeastInFlight takes, stage by stage, the server with the fewest
+	// streams in flight for its recorded capacity.
 	PolicyLeastInFlight Policy = "least_in_flight"
 	// PolicyRoundRobin takes the servers of a stage in turn.
 	PolicyRoundRobin Policy = "round_robin"
-	// PolicyRandom draws any server of a stage.
+	// PolicyRandom takes a random server of each stage.
 	PolicyRandom Policy = "random"
 )
 
-// Policies lists the policies, the default first.
+// Policies returns all policies, the default first.
 func Policies() []Policy {
 	return []Policy{PolicyMaxFlow, PolicyLeastInFlight, PolicyRoundRobin, PolicyRandom}
 }
 
-// Server is a backend server as the router sees it: what its record says,
-// corrected by what was observed of it.
+// Server is a backend server as the router sees it: its configuration record,
+// with the fields that were observed taking precedence.
 type Server struct {
 	// Name is the record's name.
 	Name string
 	// Address is host:port.
 	Address    string
 	DataCentre string
-	// Rack groups servers that fail together. Empty when it isn't known.
+	// Rack groups servers that fail together. Empty if unknown.
 	Rack string
-	// Model, Version and Layers are what a model engine holds. Empty for a plain service.
+	// Model, Version and Layers are what a model engine has loaded. Empty for a
+	// plain service.
 	Model   string
 	Version string
 	Layers  api.Layers
-	// Service is the plain service that the server runs. Empty for a model engine.
+	// Service is the name of the plain service that the server runs. Empty for a
+	// model engine.
 	Service string
-	// TokensPerSecond is the start value of the server's capacity: tokens that
-	// pass all its layers at full batch, or calls per second of a plain service.
-	// 0 means not known. What is learned from finished streams replaces it.
+	// TokensPerSecond is the initial estimate of the server's capacity: tokens
+	// per second through all its layers at full batch, or calls per second of a
+	// plain service. 0 if unknown. The estimate from finished streams replaces it.
 	TokensPerSecond float64
-	// Eligible says that the server may get new work.
+	// Eligible is true if the server may get new requests.
 	Eligible bool
-	// Incarnation is the process that answers at the address. What was learned
-	// of an earlier incarnation's load and caches is dropped.
+	// Incarnation identifies the process that answers at the address. The load
+	// and the caches of an earlier incarnation are discarded.
 	Incarnation uint64
 }
 
-// Link is the way between two data centres, in one direction.
+// Link is the network link from one data centre to another, in one direction.
 type Link struct {
 	From, To string
-	// TokensPerSecond bounds the activations that cross. 0 means no bound is known.
+	// TokensPerSecond is the link's capacity, in tokens whose activations can
+	// cross per second. 0 means that no limit is known.
 	TokensPerSecond float64
-	// Delay is the time one token's activations take to cross.
+	// Delay is the time that one token's activations take to cross.
 	Delay time.Duration
-	// Lost says that nothing crosses.
+	// Lost is true if the link is down.
 	Lost bool
 }
 
-// Stage is one backend server's part of a path.
+// Stage is the part of a path that one backend server runs.
 type Stage struct {
 	// Server is the record's name.
 	Server string `json:"server"`
 	// Address is host:port.
 	Address string `json:"address"`
-	// Layers is the range that the server runs, which may be a part of what it
-	// holds. Empty for a plain service.
+	// Layers is the range that the server runs, which may be a part of the range
+	// that it has loaded. Empty for a plain service.
 	Layers api.Layers `json:"layers,omitzero"`
-	// Incarnation is the process that was known at the address when the path
-	// was chosen. 0 when it isn't known.
+	// Incarnation identifies the process that was known at the address when the
+	// path was chosen. 0 if unknown.
 	Incarnation uint64 `json:"incarnation,omitempty"`
 }
 
-// Path is the stages that run a request, in order. A model's path tiles all its layers.
+// Path lists the stages that run a request, in order. The stages of a model's
+// path cover all its layers without gap or overlap.
 type Path []Stage
 
-// Has tells whether a server runs a stage of the path.
+// Has reports whether a server runs a stage of the path.
 func (p Path) Has(server string) bool {
 	return slices.ContainsFunc(p, func(s Stage) bool { return s.Server == server })
 }
 
-// Request is what the choice of a path depends on.
+// Request holds what the choice of a path depends on.
 type Request struct {
-	// ID names the load that the path puts on its servers, until Release.
+	// ID identifies the request, whose path counts as load on its servers until
+	// Release is called with the same ID.
 	ID string
 	// Now is the time of the decision on the VM's clock.
 	Now time.Duration
-	// Model and Layers say that the path must tile [0, Layers) of the model.
+	// Model and Layers ask for a path that covers the layers [0, Layers) of the
+	// model.
 	Model  string
 	Layers int
-	// Version is the model version that every stage must hold. Empty takes the
-	// version with the greatest bound.
+	// Version is the model version that every stage must have loaded. Empty
+	// selects the version with the highest Bound.
 	Version string
 	// Service asks for an instance of a plain service instead of a model.
 	Service string
-	// Avoid names servers to leave out while there is another way: those that
-	// were silent or unreachable for this request, which may be the link's
-	// fault. When nothing else is left they are used again.
+	// Avoid lists servers to use only as a last resort: those that timed out or
+	// were unreachable for this request, which the link may have caused.
 	Avoid []string
-	// Faulty names servers that were proven to be at fault, such as by a bad
-	// receipt. They are never used for this request.
+	// Faulty lists servers that are proven faulty, such as by a bad receipt. They
+	// are never used for this request.
 	Faulty []string
-	// Prefixes are hashes of the prompt's prefixes, the shortest first, as
-	// engines name them in their cache events.
+	// Prefixes are the hashes of the prompt's prefixes, the shortest first, in
+	// the form that engines use in their cache events.
 	Prefixes []uint64
-	// Priority above 0 weighs more candidates, so that urgent work finds the
-	// least loaded servers.
+	// Priority above 0 samples more candidate paths, so that urgent requests get
+	// less loaded servers.
 	Priority int
-	// Deadline is when the answer must be whole, and Tokens how many tokens are
-	// still wanted. 0 when not known.
+	// Deadline is when the answer must be complete, on the VM's clock, and Tokens
+	// is the number of tokens still to be generated. 0 if unknown.
 	Deadline time.Duration
 	Tokens   int
-	// Delivered is how many tokens of the answer the caller has already.
+	// Delivered is the number of tokens that the caller has received already.
 	Delivered int
 }
 
-// ErrNoPath marks a request for which no path exists. NoPathError gives the layers.
+// ErrNoPath means that no path exists for a request. NoPathError gives the
+// missing layers.
 var ErrNoPath = eris.New("no path: order a backend server to load the missing layers")
 
-// NoPathError tells which layers no eligible backend server holds.
+// NoPathError says which layers no eligible backend server has loaded.
 type NoPathError struct {
 	Model   string
 	Version string
 	Service string
 	// Missing are the ranges without a usable server. Empty for a plain service.
 	Missing []api.Layers
-	// Excluded are servers that were left out because they were proven faulty
+	// Excluded are the servers that were left out because they are proven faulty
 	// for this request.
 	Excluded []string
-	// Disconnected is true when every layer is held, but lost links part the
-	// data centres that hold them.
+	// Disconnected is true if every layer is loaded somewhere, but links that are
+	// down separate the data centres.
 	Disconnected bool
 }
 
