--- a/internal/core/config/accept.go
+++ b/internal/core/config/accept.go
@@ -11,55 +11,60 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// ErrStaleView marks an attempt to accept from a view older than the release in
-// force. A VM that was paused wakes with such a view; a release made from it
-// would take back what was accepted meanwhile.
+// ErrStaleView reports that Accept was called with a view older than the release
+// in force. A VM that resumes after a pause has such a view; a release built from
+// it would revert changes accepted in the meantime.
 var ErrStaleView = eris.New("view is older than the release in force: list the records and the release again")
 
-// Attempt is what a VM knows when it tries to accept records.
+// Attempt is the input of Accept: the state known to the VM that runs it.
 type Attempt struct {
-	// InForce is the set of Release.
+	// InForce is the configuration of Release.
 	InForce *Set
-	// Release is the platform's newest release, just read.
+	// Release is the newest release read from the platform.
 	Release api.Release
-	// Changes and Seen are those of a View.
+	// Changes and Seen come from the methods of View with these names.
 	Changes []Change
 	Seen    map[api.Kind]uint64
-	// Readable gives, for each live VM, the forms that it reads (api.Readable).
+	// Readable lists, for each live VM, the kinds and schema versions that it can
+	// read (see api.Readable).
 	Readable map[string][]string
-	// By and At go into the release.
+	// By and At are copied into the release: the VM that made it and the time.
 	By string
 	At string
 }
 
-// Outcome is what becomes of the changes.
+// Outcome is the result of Accept.
 type Outcome struct {
-	// Records says what became of each record changed, in the order of the changes.
+	// Records is the status of each changed record, in the order of the changes.
 	Records []api.RecordStatus
-	// Release is the next release, to be written on condition that the platform
-	// still has the one it was made from. Nil when nothing can be accepted.
+	// Release is the next release. It must be written with a conditional update
+	// that fails if the platform no longer has the release it is based on. Nil
+	// when no change can be accepted.
 	Release *api.Release
-	// Set is the release's set. It comes in force once the release is written.
+	// Set is the configuration of Release. It comes in force once the release is written.
 	Set *Set
-	// NewPages are the pages and indexes to be written before the release.
+	// NewPages are the pages and indexes to write before the release.
 	NewPages []api.PageRef
-	// Standing lists what is wrong with the set in force whatever the changes. It
-	// doesn't hold changes up.
+	// Standing lists violations in the set that no change caused. They don't
+	// block changes.
 	Standing api.Violations
 }
 
-// Accept decides on changes. A change that breaks a rule is left out, and the
-// others are accepted without it: one operator's slip doesn't hold up another.
-func Accept(attempt Attempt) (Outcome, error) {
-	if err := attempt.checkView(); err != nil {
+// Accept validates changes and builds the next release from the valid ones. An
+// invalid change is refused and does not block the others, so one operator's
+// mistake does not delay another operator. The error is ErrStaleView.
+func Accept(input Attempt) (Outcome, error) {
+	if err := input.checkView(); err != nil {
 		return Outcome{}, err
 	}
-	j := newJudgement(attempt)
-	j.sortOut()
-	j.settle()
-	return j.outcome(), nil
+	e := newEvaluation(input)
+	e.checkCandidates()
+	e.selectCandidates()
+	return e.result(), nil
 }
 
+// checkView returns ErrStaleView unless the set and the view are at least as new as
+// the release.
 func (a Attempt) checkView() error {
 	if a.InForce.Release != a.Release.Sequence {
 		return eris.Wrapf(ErrStaleView, "set is of release %d, release is %d", a.InForce.Release, a.Release.Sequence)
@@ -72,55 +77,58 @@
 	return nil
 }
 
-// candidate is a change on its way to a verdict.
+// candidate is a change under evaluation.
 type candidate struct {
 	*Change
 	record     *Record
 	former     *Record
 	cannotRead []string
 	violations api.Violations
-	out        bool
+	excluded   bool
 }
 
-// judgement is one run of Accept.
-type judgement struct {
-	attempt    Attempt
+// evaluation is the state of one run of Accept.
+type evaluation struct {
+	input      Attempt
 	candidates []*candidate
-	// byKey finds candidates. It is made when something is at fault.
-	byKey    map[string]*candidate
-	standing api.Violations
-	set      *Set
+	// byKey indexes the candidates by record key. It is built on the first finding.
+	byKey       map[string]*candidate
+	preexisting api.Violations
+	set         *Set
 }
 
-func newJudgement(attempt Attempt) *judgement {
-	j := &judgement{attempt: attempt}
-	for i := range attempt.Changes {
-		change := &attempt.Changes[i]
-		former := attempt.InForce.Record(change.Kind, change.Name)
+func newEvaluation(input Attempt) *evaluation {
+	e := &evaluation{input: input}
+	for i := range input.Changes {
+		change := &input.Changes[i]
+		former := input.InForce.Record(change.Kind, change.Name)
 		if change.matches(former) || former != nil && change.Version < former.Version {
 			continue
 		}
-		j.candidates = append(j.candidates, &candidate{Change: change, former: former})
+		e.candidates = append(e.candidates, &candidate{Change: change, former: former})
 	}
-	return j
+	return e
 }
 
-// sortOut judges each change by itself.
-func (j *judgement) sortOut() {
-	readable := maps.Clone(j.attempt.Readable)
+// checkCandidates validates each change on its own.
+func (e *evaluation) checkCandidates() {
+	readable := maps.Clone(e.input.Readable)
 	if readable == nil {
 		readable = map[string][]string{}
 	}
-	// This VM validates the set, so it must read all of it whatever the list of VMs says.
-	readable[j.attempt.By] = api.Readable()
-	for _, c := range j.candidates {
+	// This VM validates the whole set, so it must be able to read it even if the
+	// list of live VMs lacks this VM.
+	readable[e.input.By] = api.Readable()
+	for _, c := range e.candidates {
 		if len(c.Raw) > 0 {
-			c.judge(readable)
+			c.check(readable)
 		}
 	}
 }
 
-func (c *candidate) judge(readable map[string][]string) {
+// check validates the record on its own. A record that this VM can read but some
+// other live VM can't is excluded and stays pending.
+func (c *candidate) check(readable map[string][]string) {
 	document, err := api.Decode(c.Raw)
 	if err == nil && (document.Kind != c.Kind || document.Name != c.Name) {
 		err = eris.Wrapf(api.ErrMalformed, "it says that it is %s", document.Key())
@@ -135,7 +143,7 @@
 		}
 	}
 	if len(c.cannotRead) > 0 && len(c.cannotRead) < len(readable) {
-		c.out = true
+		c.excluded = true
 		return
 	}
 	c.cannotRead = nil
@@ -145,100 +153,107 @@
 		return
 	}
 	c.record = record
-	c.refuseBareMove()
-	if len(record.Faults) > 0 {
-		c.refuse(record.Faults...)
+	c.checkHomeChange()
+	if len(record.Violations) > 0 {
+		c.refuse(record.Violations...)
 	}
 }
 
 func (c *candidate) refuse(found ...api.Violation) {
-	c.out = true
+	c.excluded = true
 	c.violations = append(c.violations, found...)
 }
 
-// settle finds changes that can be accepted together: it leaves out those at
-// fault until the rest is valid, then tries to take back one by one those that
-// were left out for another's fault.
-func (j *judgement) settle() {
-	var left []*candidate
+// selectCandidates finds changes that are valid together. It excludes offending
+// changes until the rest is valid, then re-adds the excluded ones one at a time
+// wherever the set stays valid, since some were excluded because of another
+// change only.
+func (e *evaluation) selectCandidates() {
+	var excluded []*candidate
 	for {
-		dropped := j.dropFaulty()
-		if len(dropped) == 0 {
+		offenders := e.excludeOffenders()
+		if len(offenders) == 0 {
 			break
 		}
-		left = append(left, dropped...)
+		excluded = append(excluded, offenders...)
 	}
-	for _, c := range left[:min(len(left), maxSecondTries)] {
-		kept := c.violations
-		c.out, c.violations = false, nil
-		if valid := j.set; !j.valid() {
-			c.out, c.violations = true, kept
-			j.set = valid
+	for _, c := range excluded[:min(len(excluded), maxReconsidered)] {
+		violations := c.violations
+		c.excluded, c.violations = false, nil
+		if lastValid := e.set; !e.valid() {
+			c.excluded, c.violations = true, violations
+			e.set = lastValid
 		}
 	}
 }
 
-// maxSecondTries bounds the work on changes left out. Those beyond are looked at
-// again when others have been settled.
-const maxSecondTries = 64
+// maxReconsidered limits how many excluded changes selectCandidates tries to
+// re-add in one run. The rest are reconsidered in a later run, once the others
+// have been decided.
+const maxReconsidered = 64
 
-func (j *judgement) valid() bool {
-	for _, f := range j.findings() {
-		if len(j.atFault(f)) > 0 {
+func (e *evaluation) valid() bool {
+	for _, f := range e.findings() {
+		if len(e.offenders(f)) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// dropFaulty leaves out the changes at fault in what is wrong with the whole.
-func (j *judgement) dropFaulty() []*candidate {
-	var dropped []*candidate
-	j.standing = nil
-	for _, f := range j.findings() {
-		faulty := j.atFault(f)
-		if len(faulty) == 0 {
-			j.standing = append(j.standing, f.Violation)
+// excludeOffenders excludes the changes that cause violations in the resulting
+// set, and returns them. Violations that no change causes become preexisting.
+func (e *evaluation) excludeOffenders() []*candidate {
+	var excluded []*candidate
+	e.preexisting = nil
+	for _, f := range e.findings() {
+		offenders := e.offenders(f)
+		if len(offenders) == 0 {
+			e.preexisting = append(e.preexisting, f.Violation)
 		}
-		for _, c := range faulty {
-			if !slices.Contains(dropped, c) {
-				dropped = append(dropped, c)
+		for _, c := range offenders {
+			if !slices.Contains(excluded, c) {
+				excluded = append(excluded, c)
 			}
 			c.violations = append(c.violations, f.Violation)
 		}
 	}
-	for _, c := range dropped {
-		c.out = true
+	for _, c := range excluded {
+		c.excluded = true
 	}
-	return dropped
+	return excluded
 }
 
-// atFault lists the changes that a finding is put down to: the record that it
-// names if that was changed, else the others which have a part in it.
-func (j *judgement) atFault(f finding) []*candidate {
-	if j.byKey == nil {
-		j.byKey = make(map[string]*candidate, len(j.candidates))
-		for _, c := range j.candidates {
-			j.byKey[c.Key()] = c
+// offenders returns the changes that cause a finding: the change of the record
+// that the finding names, if there is one, otherwise the changes of related records.
+func (e *evaluation) offenders(f finding) []*candidate {
+	if e.byKey == nil {
+		e.byKey = make(map[string]*candidate, len(e.candidates))
+		for _, c := range e.candidates {
+			e.byKey[c.Key()] = c
 		}
 	}
-	if c, ok := j.byKey[f.Record]; ok && !c.out {
+	if c, ok := e.byKey[f.Record]; ok && !c.excluded {
 		return []*candidate{c}
 	}
-	var faulty []*candidate
-	for _, c := range j.candidates {
-		if !c.out && (slices.Contains(f.Related, c.Key()) || c.concerns(f)) {
-			faulty = append(faulty, c)
+	var related []*candidate
+	for _, c := range e.candidates {
+		if !c.excluded && (slices.Contains(f.Related, c.Key()) || c.contributesTo(f)) {
+			related = append(related, c)
 		}
 	}
-	return faulty
+	return related
 }
 
-// concerns says whether the change is of a server that a finding blames with
-// others, by what it runs or ran.
-func (c *candidate) concerns(f finding) bool { return f.blames(c.former) || f.blames(c.record) }
+// contributesTo reports whether the change is of a backend server that has, or had
+// before the change, the model or service that the finding is about.
+func (c *candidate) contributesTo(f finding) bool {
+	return f.involves(c.former) || f.involves(c.record)
+}
 
-func (f finding) blames(record *Record) bool {
+// involves reports whether a record is a backend server with the model or service
+// that the finding is about.
+func (f finding) involves(record *Record) bool {
 	if record == nil || record.Kind != api.KindBackendServer {
 		return false
 	}
@@ -246,44 +261,45 @@
 	return (f.model != "" && spec.Model == f.model || f.service != "" && spec.Service == f.service)
 }
 
-func (j *judgement) edits() map[api.Kind][]edit {
+func (e *evaluation) edits() map[api.Kind][]edit {
 	edits := map[api.Kind][]edit{}
-	for _, c := range j.candidates {
-		if !c.out {
+	for _, c := range e.candidates {
+		if !c.excluded {
 			edits[c.Kind] = append(edits[c.Kind], edit{name: c.Name, record: c.record})
 		}
 	}
 	return edits
 }
 
-// findings checks the set of the changes that are not left out, and keeps it.
-func (j *judgement) findings() []finding {
-	edits := j.edits()
-	j.set = j.attempt.InForce
+// findings builds the set with the candidates that are not excluded, stores it in
+// e.set and validates it.
+func (e *evaluation) findings() []finding {
+	edits := e.edits()
+	e.set = e.input.InForce
 	if len(edits) > 0 {
-		j.set = j.attempt.InForce.with(j.attempt.Release.Sequence+1, edits)
+		e.set = e.input.InForce.with(e.input.Release.Sequence+1, edits)
 	}
-	return validateChanged(j.attempt.InForce, j.set, edits)
+	return validateChanged(e.input.InForce, e.set, edits)
 }
 
-func (j *judgement) outcome() Outcome {
-	out := Outcome{Standing: j.standing}
-	for _, c := range j.candidates {
-		out.Records = append(out.Records, c.status(j.attempt.Release.Sequence+1))
+func (e *evaluation) result() Outcome {
+	out := Outcome{Standing: e.preexisting}
+	for _, c := range e.candidates {
+		out.Records = append(out.Records, c.status(e.input.Release.Sequence+1))
 	}
-	if j.set == j.attempt.InForce {
+	if e.set == e.input.InForce {
 		return out
 	}
-	out.Set = j.set
+	out.Set = e.set
 	out.Release = &api.Release{
-		Sequence: j.set.Release,
-		Previous: j.attempt.Release.Digest(),
-		Pages:    j.set.References(),
-		Seen:     maps.Clone(j.attempt.Seen),
-		By:       j.attempt.By,
-		At:       j.attempt.At,
+		Sequence: e.set.Release,
+		Previous: e.input.Release.Digest(),
+		Pages:    e.set.References(),
+		Seen:     maps.Clone(e.input.Seen),
+		By:       e.input.By,
+		At:       e.input.At,
 	}
-	out.NewPages = j.set.newTo(j.attempt.InForce, j.attempt.Release, *out.Release)
+	out.NewPages = e.set.unwrittenRefs(e.input.InForce, e.input.Release, *out.Release)
 	return out
 }
 
@@ -292,17 +308,19 @@
 	if len(c.cannotRead) > 0 {
 		return api.RecordStatus{Record: c.Key(), Version: c.Version, State: api.RecordPending, CannotRead: c.cannotRead}
 	}
-	if c.out {
+	if c.excluded {
 		return api.RecordStatus{Record: c.Key(), Version: c.Version, State: api.RecordRefused, Violations: c.violations}
 	}
 	return status
 }
 
-// ErrConflict marks a release that lost a race. Error texts name both.
+// ErrConflict reports that another VM's release was written first. Errors that
+// wrap it name both releases.
 var ErrConflict = eris.New("another VM's release was written first: nothing is lost, the changes are decided on again")
 
-// Settle says what became of a release whose write was refused or whose answer
-// was lost, given the platform's newest release. Nil means that it was written.
+// Settle determines whether a release was written after its write was refused or
+// the response was lost. current is the platform's newest release. It returns
+// nil if ours was written, and ErrConflict otherwise.
 func Settle(ours, current api.Release) error {
 	if current.Digest() == ours.Digest() || current.Previous == ours.Digest() {
 		return nil
@@ -310,6 +328,6 @@
 	return eris.Wrap(ErrConflict, fmt.Sprintf("ours is %d by %s, the platform has %d by %s", ours.Sequence, ours.By, current.Sequence, current.By))
 }
 
-// IsConflict says whether an error is a lost race or a stale view, after which
-// the VM looks again.
+// IsConflict reports whether an error is ErrConflict or ErrStaleView, after which
+// the VM rereads the platform's state and retries.
 func IsConflict(err error) bool { return errors.Is(err, ErrConflict) || errors.Is(err, ErrStaleView) }
--- a/internal/core/config/bench_test.go
+++ b/internal/core/config/bench_test.go
@@ -11,7 +11,7 @@
 	"oleandershunt.example/oleandershunt/internal/testutil"
 )
 
-// manyAccounts are client accounts as a deployment of the size ahead has them.
+// manyAccounts are writes of n client accounts like those of a large deployment.
 func manyAccounts(n int) []Change {
 	changes := make([]Change, 0, n)
 	for i := range n {
@@ -23,27 +23,28 @@
 func oneAccount(i int, version uint64) Change {
 	spec := fmt.Sprintf(`{"keySHA256":[%q],"pipelines":["p"],"weight":1,"requestsPerSecond":%d,"burst":%d,"homeDataCentre":"bornova"}`,
 		apiKeySum(i), i%50+1, i%7)
-	return written(api.KindClientAccount, fmt.Sprintf("account-%05d", i), version, "v1", spec)
+	return recordChange(api.KindClientAccount, fmt.Sprintf("account-%05d", i), version, "v1", spec)
 }
 
-// apiKeySum is the sum of an account's API key: spread evenly, as real ones are.
+// apiKeySum is the SHA-256 sum of an account's API key, uniformly distributed like
+// real ones.
 func apiKeySum(i int) string {
 	return fmt.Sprintf("%x", sha256.Sum256([]byte(fmt.Sprintf("key-%d", i))))
 }
 
-// manyServers are backend servers in chains of four ranges.
+// manyServers are writes of n backend servers. Each group of four covers all layers.
 func manyServers(n int) []Change {
 	changes := make([]Change, 0, n)
 	for i := range n {
 		spec := fmt.Sprintf(`{"address":"10.%d.%d.%d:8000","dataCentre":"bornova","accelerator":"fast","model":"m","layers":{"from":%d,"to":%d},"tokensPerSecond":2000}`,
 			i>>16, i>>8&255, i&255, i%4*6, i%4*6+6)
-		changes = append(changes, written(api.KindBackendServer, fmt.Sprintf("server-%05d", i), uint64(i+100), "v1", spec))
+		changes = append(changes, recordChange(api.KindBackendServer, fmt.Sprintf("server-%05d", i), uint64(i+100), "v1", spec))
 	}
 	return changes
 }
 
 func acceptAll(b *testing.B, changes []Change) (*Set, api.Release) {
-	out, err := Accept(Attempt{InForce: Empty(), Changes: append(basis(), changes...), By: "vm"})
+	out, err := Accept(Attempt{InForce: Empty(), Changes: append(baseChanges(), changes...), By: "vm"})
 	if err != nil || out.Release == nil {
 		b.Fatalf("not accepted: %v", err)
 	}
@@ -58,8 +59,8 @@
 	return values
 }
 
-// BenchmarkLoadAndValidate reads every page of a release and checks every rule,
-// as a VM that starts. B-held is what stays in memory.
+// BenchmarkLoadAndValidate loads every page of a release and validates the set, as a
+// VM does when it starts. B-held is the heap size of the loaded set in bytes.
 func BenchmarkLoadAndValidate(b *testing.B) {
 	for _, n := range []int{10, 1_000, 31_000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
@@ -89,9 +90,9 @@
 	}
 }
 
-// BenchmarkAcceptAll accepts every account at once, as after a first apply.
+// BenchmarkAcceptAll accepts all accounts in one release, as after the first apply.
 func BenchmarkAcceptAll(b *testing.B) {
-	changes := append(basis(), manyAccounts(31_000)...)
+	changes := append(baseChanges(), manyAccounts(31_000)...)
 	for b.Loop() {
 		out, err := Accept(Attempt{InForce: Empty(), Changes: changes, By: "vm"})
 		if err != nil || out.Set.Count(api.KindClientAccount) != 31_001 {
@@ -100,7 +101,8 @@
 	}
 }
 
-// benchmarkOneChange accepts one change of a set, and loads it as the other VMs do.
+// benchmarkOneChange accepts one change of a set, and loads the new release as the
+// other VMs do.
 func benchmarkOneChange(b *testing.B, base []Change, change Change) {
 	set, release := acceptAll(b, base)
 	seen := map[api.Kind]uint64{change.Kind: change.Version}
--- a/internal/core/config/build.go
+++ b/internal/core/config/build.go
@@ -9,11 +9,12 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// ErrMissingPages marks a release some of whose pages have not been read yet.
+// ErrMissingPages reports that pages or indexes of a release have not been read yet.
 var ErrMissingPages = eris.New("pages of the release are missing: read them from the platform or another VM")
 
-// Build makes a set of documents, outside of any release. It reports the first
-// record that can't be read and validates nothing.
+// Build makes a set directly from documents, without pages of a release. It
+// returns an error for the first document that can't be decoded. It does not
+// validate the records.
 func Build(release uint64, documents []api.Document) (*Set, error) {
 	records := make([]*Record, 0, len(documents))
 	for _, document := range documents {
@@ -30,21 +31,21 @@
 	return newSet(release, records), nil
 }
 
-// Change is a record written or deleted in the platform.
+// Change is the write or deletion of a record in the platform.
 type Change struct {
 	Kind api.Kind
 	Name string
 	// Version is the platform's version of the write or deletion.
 	Version uint64
-	// Raw is the record's JSON. Empty when the record was deleted.
+	// Raw is the record's JSON. It is empty if the record was deleted.
 	Raw json.RawMessage
 }
 
 // Key is the identity of the record, as "Kind/name".
 func (c Change) Key() string { return api.Key(c.Kind, c.Name) }
 
-// with makes the set in which edits have been made. Everything that they don't
-// touch is shared with s.
+// with returns a new set with the edits applied. Unchanged tables and pages are
+// shared with s.
 func (s *Set) with(release uint64, edits map[api.Kind][]edit) *Set {
 	next := &Set{
 		Release: release, Models: s.Models, Pipelines: s.Pipelines, Routes: s.Routes,
@@ -60,6 +61,8 @@
 	return next
 }
 
+// deriveChanged rebuilds the lookup structures that the edits affect. The key
+// index is rebuilt from scratch if more than half of the accounts changed.
 func (s *Set) deriveChanged(former *Set, edits map[api.Kind][]edit) {
 	if len(edits[api.KindModel]) > 0 {
 		s.Models = specMap[api.ModelSpec](s.tables[api.KindModel])
@@ -85,7 +88,7 @@
 	}
 }
 
-// Pages lists the pages of the set, in order of kind and shard.
+// Pages lists the pages of the set, ordered by kind and shard.
 func (s *Set) Pages() []api.PageRef {
 	count := 0
 	for _, t := range s.tables {
@@ -100,8 +103,8 @@
 	return refs
 }
 
-// PageValue gives the JSON of one of the set's pages, or of an index of them, by
-// its content hash.
+// PageValue returns the JSON of the page or index that ref names, if the set has
+// it with this content hash.
 func (s *Set) PageValue(ref api.PageRef) ([]byte, bool) {
 	if ref.Index {
 		return s.indexValue(ref)
@@ -119,9 +122,10 @@
 	return nil
 }
 
-// Missing lists what has to be read to load a release: what neither the set has
-// nor the values by content hash. Pages listed in an index that is missing
-// itself are not known yet; ReadRounds turns find all.
+// Missing lists the pages and indexes that must be read to load a release: those
+// that are neither in the set nor in values, which is keyed by content hash.
+// Pages listed in an index that is itself missing are not included; calling
+// Missing and reading the result ReadRounds times finds them all.
 func (s *Set) Missing(release api.Release, values map[string][]byte) ([]api.PageRef, error) {
 	pages, missing, err := s.expand(release, values)
 	if err != nil {
--- a/internal/core/config/delta.go
+++ b/internal/core/config/delta.go
@@ -8,12 +8,12 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// ErrDamagedDelta marks a delta that doesn't lead to the release that it is said to.
+// ErrDamagedDelta reports a delta that does not produce the release it claims to.
 var ErrDamagedDelta = eris.New("delta of a release is damaged: read the whole release")
 
-// ChangesTo lists what turns s into another set, in order of kind and name, as
-// changes of records. Its cost is that of the pages that differ. ok is false
-// when there are more than limit.
+// ChangesTo returns the record changes that turn s into another set, ordered by
+// kind and name. ok is false if there are more than limit. The cost is
+// proportional to the pages that differ.
 func (s *Set) ChangesTo(other *Set, limit int) (changes []Change, ok bool) {
 	differences := s.Compare(other)
 	if len(differences) > limit {
@@ -29,8 +29,8 @@
 	return changes, true
 }
 
-// Apply makes the set of a release from changes to s. They come from another
-// VM: whether the set is that of the release has to be checked by the release's
+// Apply builds the set of a release by applying changes to s. The changes come
+// from another VM, so the caller must compare the result with the release's
 // digest, which covers every page.
 func (s *Set) Apply(release uint64, changes []Change) (*Set, error) {
 	edits := make(map[api.Kind][]edit)
@@ -47,6 +47,7 @@
 	return s.with(release, edits), nil
 }
 
+// edit decodes the change and checks that its content is the record it names.
 func (c Change) edit() (edit, error) {
 	if len(bytes.TrimSpace(c.Raw)) == 0 {
 		return edit{name: c.Name}, nil
--- a/internal/core/config/delta_test.go
+++ b/internal/core/config/delta_test.go
@@ -10,10 +10,10 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// The layout of pages depends on the records alone: changes applied to an older
-// set must lead to the very pages of the newer, over splits and joins too.
+// Applying the changes between two sets to the older one must yield the same pages
+// as the newer one, also when pages are split or merged.
 func TestChangesLeadToTheSamePages(t *testing.T) {
-	layouts := map[int]bool{}
+	pageCounts := map[int]bool{}
 	rapid.Check(t, func(t *rapid.T) {
 		before := randomSet(t, Empty(), 1, "before")
 		after := randomSet(t, before, 2, "after")
@@ -26,30 +26,31 @@
 			t.Fatal(err)
 		}
 		if !slices.Equal(rebuilt.Pages(), after.Pages()) || rebuilt.Release != 2 {
-			t.Fatalf("pages %v, not %v", rebuilt.Pages(), after.Pages())
+			t.Fatalf("rebuilt pages are %v, want %v", rebuilt.Pages(), after.Pages())
 		}
-		layouts[len(after.Pages())] = true
-		if left, _ := rebuilt.ChangesTo(after, 0); len(left) > 0 {
-			t.Fatalf("differs by %v", left)
+		pageCounts[len(after.Pages())] = true
+		if remaining, _ := rebuilt.ChangesTo(after, 0); len(remaining) > 0 {
+			t.Fatalf("rebuilt set still differs: %v", remaining)
 		}
 	})
-	if len(layouts) < 4 {
-		t.Fatalf("only %d layouts of pages were met", len(layouts))
+	if len(pageCounts) < 4 {
+		t.Fatalf("only %d different page counts occurred", len(pageCounts))
 	}
 }
 
-// randomSet changes, adds and deletes some of 300 accounts, which fill several pages.
+// randomSet returns set after random writes and deletions of some of 300 accounts,
+// which fill several pages.
 func randomSet(t *rapid.T, set *Set, release uint64, label string) *Set {
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, label), release))
-	touched, deleted := random.Float64(), random.Float64()
+	editRatio, deleteRatio := random.Float64(), random.Float64()
 	edits := map[api.Kind][]edit{}
 	for i := range 300 {
-		if random.Float64() > touched {
+		if random.Float64() > editRatio {
 			continue
 		}
 		change := oneAccount(i, release)
 		e := edit{name: change.Name}
-		if random.Float64() > deleted {
+		if random.Float64() > deleteRatio {
 			record, err := NewRecord(change.Version, change.Raw)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/core/config/derive.go
+++ b/internal/core/config/derive.go
@@ -7,7 +7,8 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// deriveFrom fills what is looked up, sharing with a former set what has not changed.
+// deriveFrom fills the lookup structures and shares those that are unchanged with
+// a former set.
 func (s *Set) deriveFrom(former *Set) {
 	edits := map[api.Kind][]edit{}
 	for _, kind := range api.OperatorKinds() {
@@ -17,7 +18,8 @@
 	s.deriveChanged(former, edits)
 }
 
-// editsTo lists what turns t into another table. Pages in both are skipped.
+// editsTo returns the edits that turn t into another table. Pages that are in
+// both are skipped.
 func (t *table) editsTo(other *table) []edit {
 	var edits []edit
 	for _, p := range other.pages {
@@ -38,6 +40,8 @@
 	return edits
 }
 
+// editsInPage returns an edit for each record of p that t lacks or has in another
+// version.
 func (t *table) editsInPage(p *page) []edit {
 	var edits []edit
 	for _, record := range p.records {
@@ -54,12 +58,12 @@
 type Difference struct {
 	Kind api.Kind
 	Name string
-	// Before and After are its versions in the two sets; nil where it is not.
+	// Before and After are the record in the two sets; nil if the set lacks it.
 	Before, After *Record
 }
 
-// Compare lists what differs between s and a later or earlier set, in order of
-// kind and name, at the cost of the pages that differ.
+// Compare lists the records that differ between s and a later or earlier set,
+// ordered by kind and name. The cost is proportional to the pages that differ.
 func (s *Set) Compare(other *Set) []Difference {
 	var differences []Difference
 	for _, kind := range api.OperatorKinds() {
--- a/internal/core/config/fuzz_test.go
+++ b/internal/core/config/fuzz_test.go
@@ -8,8 +8,8 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// FuzzPage reads a page under the hash of its own bytes, as a writer of damaged
-// content could have it, and expects it to be read as it was written or refused.
+// FuzzPage loads arbitrary bytes as a page with a matching content hash. A page that
+// is accepted must be encoded again into a page that loads.
 func FuzzPage(f *testing.F) {
 	f.Fuzz(func(t *testing.T, kind, shard string, value []byte) {
 		ref := api.PageRef{Kind: api.Kind(kind), Shard: shard, Hash: contentHash(value)}
@@ -20,15 +20,16 @@
 		}
 		again, ok := set.PageValue(ref)
 		if !ok {
-			t.Fatalf("page %v is not in its own set", ref)
+			t.Fatalf("loaded set lacks page %v", ref)
 		}
 		if _, err := Empty().Load(release, map[string][]byte{ref.Hash: again}); err != nil {
-			t.Fatalf("%s is passed on as %s: %v", value, again, err)
+			t.Fatalf("%s is encoded again as %s, which does not load: %v", value, again, err)
 		}
 	})
 }
 
-// FuzzChange offers a record as the platform could hold it.
+// FuzzChange accepts an arbitrary record from the platform. An accepted one must
+// make a valid set that survives JSON encoding.
 func FuzzChange(f *testing.F) {
 	f.Fuzz(func(t *testing.T, kind, name string, raw []byte) {
 		change := Change{Kind: api.Kind(kind), Name: name, Version: 1, Raw: raw}
@@ -40,7 +41,7 @@
 			return
 		}
 		if found := Validate(out.Set); len(found) > 0 {
-			t.Fatalf("accepted %s in spite of %v", raw, found)
+			t.Fatalf("%s was accepted despite violations: %v", raw, found)
 		}
 		data, err := json.Marshal(out.Set)
 		if err != nil {
@@ -53,7 +54,7 @@
 	})
 }
 
-// FuzzSet reads a set as a trace holds it.
+// FuzzSet decodes a set from the JSON of a trace recording.
 func FuzzSet(f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var set Set
--- a/internal/core/config/home.go
+++ b/internal/core/config/home.go
@@ -7,11 +7,11 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// refuseBareMove refuses a change of a client account's home that does not name
-// the former home. The home decides which VMs know the account's keys: a key
-// used before the change would be unknown after it, and its request could run
-// a second time.
-func (c *candidate) refuseBareMove() {
+// checkHomeChange refuses a change of a client account's home data centre that
+// does not name the former home. The home determines which VMs store the claims
+// of the account's idempotency keys: without the former home, a key used before
+// the change would be unknown after it and its request could run a second time.
+func (c *candidate) checkHomeChange() {
 	if c.former == nil {
 		return
 	}
--- a/internal/core/config/home_test.go
+++ b/internal/core/config/home_test.go
@@ -9,15 +9,14 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// Symptom: a sale booked before an account's home was changed is booked again
-// after it. Sequence: an operator changes homeDataCentre; the caller sends the
-// key again; the new home's VMs have never seen it. Cause: nothing joins the
-// two homes. The record has to name the former home, so that both decide.
-func TestChangeOfHomeNamesTheFormerOne(t *testing.T) {
-	account := func(version uint64, homes string) Change {
-		return written(api.KindClientAccount, "growers", version, api.SchemaV1, `{"keySHA256":["`+strings.Repeat("ab", 32)+`"]`+homes+`}`)
+// After a change of homeDataCentre, the VMs of the new home don't know idempotency
+// keys used before, and a repeated request would run twice. The record must name
+// the former home, so that both homes decide on a key.
+func TestHomeChangeMustNameFormerHome(t *testing.T) {
+	account := func(version uint64, homeFields string) Change {
+		return recordChange(api.KindClientAccount, "growers", version, api.SchemaV1, `{"keySHA256":["`+strings.Repeat("ab", 32)+`"]`+homeFields+`}`)
 	}
-	for homes, accepted := range map[string]bool{
+	for homeFields, accepted := range map[string]bool{
 		`,"homeDataCentre":"howrah"`:                                   false,
 		`,"homeDataCentre":"howrah","formerHomeDataCentre":"rajarhat"`: false,
 		`,"homeDataCentre":"howrah","formerHomeDataCentre":"any"`:      true,
@@ -25,14 +24,14 @@
 		`,"homeDataCentre":"","formerHomeDataCentre":"howrah"`:         true,
 	} {
 		f := newFixture(t)
-		f.accept(append(basis(), account(50, ""))...)
-		out := f.accept(account(51, homes))
+		f.accept(append(baseChanges(), account(50, ""))...)
+		out := f.accept(account(51, homeFields))
 		found := violations(out, "ClientAccount/growers")
 		if accepted {
-			f.Expect(found).To(BeEmpty(), homes)
+			f.Expect(found).To(BeEmpty(), homeFields)
 			continue
 		}
-		f.Expect(found).To(HaveLen(1), homes)
+		f.Expect(found).To(HaveLen(1), homeFields)
 		f.Expect(found[0].Rule).To(Equal(api.RuleHome))
 	}
 }
--- a/internal/core/config/index.go
+++ b/internal/core/config/index.go
@@ -11,18 +11,20 @@
 )
 
 const (
-	// maxIndexRefs is the number of pages above which an index is split in two,
-	// and a release uses indexes at all. A change writes one index and the list
-	// of indexes: both are short when there are as many pages in an index as indexes.
+	// maxIndexRefs is the largest number of pages in one index, and in a release
+	// that lists its pages without indexes. A change writes one index and the
+	// list of indexes; both stay short if an index has about as many pages as
+	// there are indexes.
 	maxIndexRefs = 64
 )
 
-// ReadRounds is how often the pages that a release lacks must be asked for
-// until all are known: an index has to be read before the pages that it lists.
+// ReadRounds is the number of rounds of listing and reading missing pages that
+// load a whole release: indexes are read before the pages that they list.
 const ReadRounds = 2
 
-// References lists what a release with the set's records lists: its pages, or
-// indexes where they are many. Like the pages, it depends on the records only.
+// References returns the references that a release of the set lists: its pages,
+// or indexes of them if there are more than maxIndexRefs. Like the pages, the
+// result depends on the records only, not on their history.
 func (s *Set) References() []api.PageRef {
 	pages := s.Pages()
 	if len(pages) <= maxIndexRefs {
@@ -30,12 +32,11 @@
 	}
 	var refs []api.PageRef
 	for _, kind := range api.OperatorKinds() {
-		refs = append(refs, indexed(kind, "", s.tables[kind].refs())...)
+		refs = append(refs, indexRefs(kind, "", s.tables[kind].refs())...)
 	}
 	return refs
 }
 
-// refs lists a table's pages.
 func (t *table) refs() []api.PageRef {
 	refs := make([]api.PageRef, 0, len(t.pages))
 	for _, p := range t.pages {
@@ -44,8 +45,10 @@
 	return refs
 }
 
-// indexed stands indexes for the pages of a shard, which are in order.
-func indexed(kind api.Kind, shard string, pages []api.PageRef) []api.PageRef {
+// indexRefs groups the pages of a shard, which must be in order, into indexes. It
+// splits the shard until each index has at most maxIndexRefs pages. A single page
+// is referenced directly.
+func indexRefs(kind api.Kind, shard string, pages []api.PageRef) []api.PageRef {
 	switch {
 	case len(pages) <= 1:
 		return pages
@@ -57,19 +60,20 @@
 	if right < 0 {
 		right = len(pages)
 	}
-	return append(indexed(kind, shard+"0", pages[:right]), indexed(kind, shard+"1", pages[right:])...)
+	return append(indexRefs(kind, shard+"0", pages[:right]), indexRefs(kind, shard+"1", pages[right:])...)
 }
 
 func indexValue(kind api.Kind, shard string, pages []api.PageRef) []byte {
 	value, err := json.Marshal(api.PageIndex{Kind: kind, Shard: shard, Pages: pages})
 	if err != nil {
-		// An index has no value that JSON can't hold.
+		// Every field of an index can be encoded as JSON.
 		panic(err)
 	}
 	return value
 }
 
-// indexValue gives the JSON of an index of the set's own pages.
+// indexValue returns the JSON of the index that ref names, built from the set's
+// own pages. It returns false if its content hash differs.
 func (s *Set) indexValue(ref api.PageRef) ([]byte, bool) {
 	t, ok := s.tables[ref.Kind]
 	if !ok {
@@ -79,10 +83,10 @@
 	return value, contentHash(value) == ref.Hash
 }
 
-// refsWithin lists a table's pages whose shards lie within the given one.
+// refsWithin lists the pages whose shards lie within the given one.
 func (t *table) refsWithin(shard string) []api.PageRef {
 	var refs []api.PageRef
-	for _, p := range t.pages[t.firstFrom(shard):] {
+	for _, p := range t.pages[t.firstPageFrom(shard):] {
 		if !strings.HasPrefix(p.ref.Shard, shard) {
 			break
 		}
@@ -91,8 +95,8 @@
 	return refs
 }
 
-// ReadIndex decodes an index and checks that it is, to the byte, what its hash
-// says, and lists pages of its own shard only.
+// ReadIndex decodes an index. It returns ErrDamagedPage if the content does not
+// match the hash byte for byte or if the index lists pages outside its shard.
 func ReadIndex(ref api.PageRef, value []byte) ([]api.PageRef, error) {
 	var content api.PageIndex
 	if err := json.Unmarshal(value, &content); err != nil {
@@ -109,8 +113,9 @@
 	return content.Pages, nil
 }
 
-// expand lists the pages of a release, with the indexes that s or the values
-// have. Indexes that neither has are missing.
+// expand lists the pages of a release. It resolves indexes from the set's own
+// pages or from values, which is keyed by content hash; the others are returned
+// in missing.
 func (s *Set) expand(release api.Release, values map[string][]byte) (pages, missing []api.PageRef, err error) {
 	for _, ref := range release.Pages {
 		if !ref.Index {
@@ -135,11 +140,11 @@
 	return pages, missing, nil
 }
 
-// newTo lists what has to be written before a release of the set can be: the
-// pages that a former set lacks, and the indexes that the former release doesn't
-// list. That release counts and not the former set, because a program that has
-// no indexes may have written it.
-func (s *Set) newTo(former *Set, release, next api.Release) []api.PageRef {
+// unwrittenRefs lists the pages and indexes to write before the next release: the
+// pages that the former set lacks and the indexes that the former release does not
+// list. The former set can produce indexes that were never written, because a
+// program version without indexes may have written its release.
+func (s *Set) unwrittenRefs(former *Set, release, next api.Release) []api.PageRef {
 	var refs []api.PageRef
 	for _, ref := range s.Pages() {
 		if former.page(ref) == nil {
--- a/internal/core/config/index_test.go
+++ b/internal/core/config/index_test.go
@@ -12,8 +12,8 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// wideSet has accounts whose pages are too many for a release to list.
-func wideSet(t *testing.T) *Set {
+// setWithManyPages returns a set with more pages than a release lists without indexes.
+func setWithManyPages(t *testing.T) *Set {
 	records := make([]*Record, 0, 4*maxIndexRefs)
 	for i := range 4 * maxIndexRefs {
 		records = append(records, paddedRecord(t, fmt.Sprintf("account-%04d", i), 1, pageBytes*2/3))
@@ -21,7 +21,7 @@
 	return newSet(3, records)
 }
 
-// readAll reads what a release needs as a VM does, from the set that it names.
+// readAll reads what base lacks of a release from source, as a VM does.
 func readAll(g *WithT, base, source *Set, release api.Release) (values map[string][]byte, reads int) {
 	values = map[string][]byte{}
 	for range ReadRounds {
@@ -39,7 +39,7 @@
 
 func TestManyPagesAreListedInIndexes(t *testing.T) {
 	g := NewWithT(t)
-	set := wideSet(t)
+	set := setWithManyPages(t)
 	release := api.Release{Sequence: 3, Pages: set.References()}
 	g.Expect(len(set.Pages())).To(BeNumerically(">", 2*maxIndexRefs))
 	g.Expect(len(release.Pages)).To(BeNumerically("<", maxIndexRefs))
@@ -52,27 +52,27 @@
 	next := set.with(4, map[api.Kind][]edit{api.KindClientAccount: {{name: "account-0007"}}})
 	release.Pages = next.References()
 	values, reads := readAll(g, loaded, next, release)
-	g.Expect(reads).To(BeNumerically("<=", 3), "an index and what a page became")
+	g.Expect(reads).To(BeNumerically("<=", 3), "an index and the pages that replace one page")
 	loaded, err = loaded.Load(release, values)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(loaded.Pages()).To(Equal(next.Pages()))
 }
 
-// Symptom: a VM runs records that nobody accepted, or lacks some. Sequence: an
-// index comes with bytes changed, or lists pages of another shard or kind, or is
-// not to be had. Cause: content taken on trust, and what is missing for empty.
+// An index that is corrupt, lists pages of another shard or kind, or is missing must
+// be detected. Otherwise a VM would run records that were never accepted, or lack
+// some.
 func TestDamagedIndexesAreRefused(t *testing.T) {
 	g := NewWithT(t)
-	set := wideSet(t)
+	set := setWithManyPages(t)
 	release := api.Release{Sequence: 3, Pages: set.References()}
 	values, _ := readAll(g, Empty(), set, release)
 	at := slices.IndexFunc(release.Pages, func(ref api.PageRef) bool { return ref.Index })
 	ref := release.Pages[at]
-	whole := values[ref.Hash]
+	intact := values[ref.Hash]
 	for name, given := range map[string]string{
-		"cut":     string(whole[:len(whole)-2]),
-		"changed": strings.Replace(string(whole), `"shard":"`, `"shard":"1`, 1),
-		"shorter": strings.Replace(string(whole), `"pages":["`, `"pages":[],"was":["`, 1),
+		"cut":     string(intact[:len(intact)-2]),
+		"changed": strings.Replace(string(intact), `"shard":"`, `"shard":"1`, 1),
+		"shorter": strings.Replace(string(intact), `"pages":["`, `"pages":[],"was":["`, 1),
 	} {
 		values[ref.Hash] = []byte(given)
 		_, err := Empty().Load(release, values)
@@ -82,24 +82,23 @@
 	_, err := Empty().Load(release, values)
 	g.Expect(err).To(MatchError(ErrMissingPages))
 
-	// An index that is whole, but stands for another shard than the release says.
-	values[ref.Hash] = whole
-	moved := slices.Clone(release.Pages)
-	moved[at].Shard += "1111"
-	_, err = Empty().Load(api.Release{Sequence: 3, Pages: moved}, values)
+	// An intact index whose shard or kind is not the one that the release lists.
+	values[ref.Hash] = intact
+	misplaced := slices.Clone(release.Pages)
+	misplaced[at].Shard += "1111"
+	_, err = Empty().Load(api.Release{Sequence: 3, Pages: misplaced}, values)
 	g.Expect(err).To(MatchError(ErrDamagedPage))
-	moved[at] = api.PageRef{Kind: api.KindRoute, Shard: ref.Shard, Hash: ref.Hash, Index: true}
-	_, err = Empty().Load(api.Release{Sequence: 3, Pages: moved}, values)
+	misplaced[at] = api.PageRef{Kind: api.KindRoute, Shard: ref.Shard, Hash: ref.Hash, Index: true}
+	_, err = Empty().Load(api.Release{Sequence: 3, Pages: misplaced}, values)
 	g.Expect(err).To(MatchError(ErrDamagedPage))
 }
 
-// Symptom: after an upgrade a release names indexes that the platform doesn't
-// have. Sequence: a program without indexes wrote the release in force; one with
-// indexes changes a record, and finds the other indexes among its own pages.
-// Cause: what the set could answer was taken for what was written.
+// A program version without indexes wrote the release in force; a version with
+// indexes then changes a record. It must write all indexes of its release, also
+// those of unchanged pages, which its set can produce but the platform lacks.
 func TestIndexesThatTheFormerReleaseLacksAreWritten(t *testing.T) {
 	g := NewWithT(t)
-	set := wideSet(t)
+	set := setWithManyPages(t)
 	former := api.Release{Sequence: 3, Pages: set.Pages()}
 	write := func(version uint64) Change {
 		record := paddedRecord(t, "account-0007", version, pageBytes*2/3)
@@ -118,9 +117,10 @@
 	g.Expect(again.NewPages).To(HaveLen(2), "a page and its index")
 }
 
-// A program without indexes must refuse a release that has them, and not take
-// it for one with fewer pages: the kind in a reference is one that it lacks.
-func TestReferenceOfAnIndexIsNotThatOfAPage(t *testing.T) {
+// A program version without indexes must refuse a release that has them instead of
+// reading it as one with fewer pages. The reference of an index therefore starts
+// with a kind that the older version does not know.
+func TestIndexRefDiffersFromPageRef(t *testing.T) {
 	g := NewWithT(t)
 	index := api.PageRef{Kind: api.KindRoute, Shard: "01", Hash: "ab", Index: true}
 	text, err := json.Marshal(index)
--- a/internal/core/config/inforce.go
+++ b/internal/core/config/inforce.go
@@ -4,12 +4,12 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// maxJump is how far a release that another VM offers may be ahead of the one in
-// force. At 8,100 changes a day it is 12 days of changes; a VM that has been cut
-// off for longer is told by the platform.
-const maxJump = 100_000
+// maxPeerLead is how many releases a release offered by another VM may be ahead of
+// the one in force. At 8,100 changes a day it covers 12 days of changes; a VM
+// that was disconnected for longer reads the release from the platform.
+const maxPeerLead = 100_000
 
-// Source is where a release was read.
+// Source is where an offered release came from.
 type Source string
 
 // The sources of a release.
@@ -18,28 +18,29 @@
 	FromPeer     Source = "peer"
 )
 
-// Decision is what to do with a release that is offered.
+// Decision is what to do with an offered release.
 type Decision string
 
 // The decisions on a release.
 const (
-	// Adopt: it is newer. Read its pages and bring it in force.
+	// Adopt: the release is newer. Read its pages and bring it in force.
 	Adopt Decision = "adopt"
-	// Same: it is the one in force.
+	// Same: the release is the one in force.
 	Same Decision = "same"
-	// Older: it is older than the one in force, which stays.
+	// Older: the release is older than the one in force. Ignore it.
 	Older Decision = "older"
-	// Implausible: a VM offers a release too far ahead; ask the platform.
+	// Implausible: another VM offered a release that is too far ahead. Read the
+	// release from the platform instead.
 	Implausible Decision = "implausible"
-	// Forked: it has the number of the release in force and other content. The
-	// platform's conditional update rules it out, so something rewrote the
-	// Release object; what is in force stays.
+	// Forked: the release has the sequence number of the one in force but other
+	// content. The platform's conditional update prevents this, so something else
+	// rewrote the Release object. The release in force stays.
 	Forked Decision = "forked"
 )
 
-// Judge decides on a release that is offered while another is in force. What is
-// in force never goes back: not after a partition, a restart of the platform, a
-// stale list or a slow watch.
+// Judge decides what to do with an offered release, given the one in force. The
+// release in force never regresses, not even after a network partition, a
+// restart of the platform, a stale list or a slow watch.
 func Judge(inForce, offered api.Release, source Source) Decision {
 	switch {
 	case offered.Sequence < inForce.Sequence:
@@ -48,7 +49,7 @@
 		return Same
 	case offered.Sequence == inForce.Sequence:
 		return Forked
-	case source == FromPeer && inForce.Sequence > 0 && offered.Sequence-inForce.Sequence > maxJump:
+	case source == FromPeer && inForce.Sequence > 0 && offered.Sequence-inForce.Sequence > maxPeerLead:
 		return Implausible
 	default:
 		return Adopt
--- a/internal/core/config/json.go
+++ b/internal/core/config/json.go
@@ -6,13 +6,13 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// setJSON is a set as recordings hold it.
+// setJSON is the encoding of a set in trace recordings.
 type setJSON struct {
 	Release uint64           `json:"release"`
 	Records []api.PageRecord `json:"records"`
 }
 
-// MarshalJSON writes the release's number and every record with its version.
+// MarshalJSON encodes the release number and every record with its version.
 func (s *Set) MarshalJSON() ([]byte, error) {
 	out := setJSON{Release: s.Release, Records: []api.PageRecord{}}
 	for _, kind := range api.OperatorKinds() {
@@ -23,7 +23,7 @@
 	return json.Marshal(out)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes the output of MarshalJSON.
 func (s *Set) UnmarshalJSON(data []byte) error {
 	var in setJSON
 	if err := json.Unmarshal(data, &in); err != nil {
--- a/internal/core/config/keyindex.go
+++ b/internal/core/config/keyindex.go
@@ -10,7 +10,8 @@
 )
 
 // keyBuckets is the number of buckets of a key index. With 31,000 accounts a
-// bucket holds about 30 keys; a lookup bisects one bucket and a change copies one.
+// bucket has about 30 keys. A lookup is a binary search in one bucket, and a
+// change copies one bucket.
 const keyBuckets = 1024
 
 // keySum is the SHA-256 sum of an API key.
@@ -22,8 +23,8 @@
 	account string
 }
 
-// keyIndex finds the client account of an API key. It is not changed after it
-// is made: a change makes a new one that shares the buckets which it doesn't touch.
+// keyIndex maps API keys to client accounts. It is immutable: a change makes a new
+// index that shares the unchanged buckets.
 type keyIndex struct {
 	buckets [][]keyOwner
 }
@@ -43,7 +44,7 @@
 	return index
 }
 
-// with makes the index in which records replace their former versions.
+// with returns a new index in which the latest records replace the former ones.
 func (x *keyIndex) with(former, latest []*Record) *keyIndex {
 	next := &keyIndex{buckets: slices.Clone(x.buckets)}
 	for _, record := range former {
@@ -75,7 +76,8 @@
 	}
 }
 
-// owners lists the accounts that hold a key, in order of name. A valid set has at most one.
+// owners returns the accounts that have a key, ordered by name. A valid set has at
+// most one for each key.
 func (x *keyIndex) owners(sum keySum) []keyOwner {
 	bucket := x.buckets[sum.bucket()]
 	from, _ := slices.BinarySearchFunc(bucket, keyOwner{sum: sum}, compareOwner)
@@ -95,7 +97,7 @@
 	return bytes.Compare([]byte(a.account), []byte(b.account))
 }
 
-// ownersOf lists the well-formed keys of an account's record, each once.
+// ownersOf returns the distinct well-formed keys of an account's record.
 func ownersOf(record *Record) []keyOwner {
 	if record == nil {
 		return nil
@@ -110,6 +112,7 @@
 	return slices.Compact(owners)
 }
 
+// parseKeySum decodes a SHA-256 sum in hex.
 func parseKeySum(text string) (keySum, bool) {
 	var sum keySum
 	if len(text) != hex.EncodedLen(len(sum)) {
--- a/internal/core/config/load.go
+++ b/internal/core/config/load.go
@@ -8,85 +8,88 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// Loader makes the set of a release from the pages of another set and from
-// those that are added. A page is decoded when it is added, so that the text of
-// a release, which takes as much memory as its set, is never held whole.
+// Loader builds the set of a release from the pages of another set and pages that
+// are added. Pages are decoded as they are added: the JSON of a release takes as
+// much memory as its set, so it is never kept as a whole.
 type Loader struct {
 	base    *Set
 	release api.Release
-	// asked are the references last listed as missing, by content hash.
-	asked   map[string][]api.PageRef
-	indexes map[string][]byte
-	pages   map[api.PageRef]*page
-	// listed are the pages of the release, as far as its indexes are there, and
-	// absent the other indexes. They are worked out anew after an index is added.
-	listed, absent []api.PageRef
-	known          bool
+	// requested are the references last returned by Missing, by content hash.
+	requested map[string][]api.PageRef
+	indexes   map[string][]byte
+	pages     map[api.PageRef]*page
+	// pageRefs are the pages of the release that are listed directly or in an
+	// available index; missingIndexes are the other indexes. Both are valid while
+	// resolved is set, and recomputed after an index is added.
+	pageRefs, missingIndexes []api.PageRef
+	resolved                 bool
 }
 
-// NewLoader starts to make the set of a release from the pages that s has.
+// NewLoader returns a loader for a release that reuses the pages of s.
 func (s *Set) NewLoader(release api.Release) *Loader {
 	return &Loader{
-		base:    s,
-		release: release,
-		asked:   map[string][]api.PageRef{},
-		indexes: map[string][]byte{},
-		pages:   map[api.PageRef]*page{},
+		base:      s,
+		release:   release,
+		requested: map[string][]api.PageRef{},
+		indexes:   map[string][]byte{},
+		pages:     map[api.PageRef]*page{},
 	}
 }
 
-// Missing lists what has not been added yet. Pages listed in an index that is
-// missing itself are not known yet; ReadRounds turns find all.
+// Missing lists the pages and indexes that have not been added yet. Pages listed
+// in an index that is itself missing are not included; calling Missing and adding
+// the result ReadRounds times finds them all.
 func (l *Loader) Missing() ([]api.PageRef, error) {
-	if err := l.list(); err != nil {
+	if err := l.resolve(); err != nil {
 		return nil, err
 	}
-	missing := slices.Clone(l.absent)
-	for _, ref := range l.listed {
+	missing := slices.Clone(l.missingIndexes)
+	for _, ref := range l.pageRefs {
 		if l.page(ref) == nil {
 			missing = append(missing, ref)
 		}
 	}
-	clear(l.asked)
+	clear(l.requested)
 	for _, ref := range missing {
-		l.asked[ref.Hash] = append(l.asked[ref.Hash], ref)
+		l.requested[ref.Hash] = append(l.requested[ref.Hash], ref)
 	}
 	return missing, nil
 }
 
-// list fills listed and absent unless they are known.
-func (l *Loader) list() error {
-	if l.known {
+// resolve computes pageRefs and missingIndexes unless they are valid.
+func (l *Loader) resolve() error {
+	if l.resolved {
 		return nil
 	}
 	var err error
-	l.listed, l.absent, err = l.base.expand(l.release, l.indexes)
-	l.known = err == nil
+	l.pageRefs, l.missingIndexes, err = l.base.expand(l.release, l.indexes)
+	l.resolved = err == nil
 	return err
 }
 
-// Lacks says whether what was listed as missing has not been added since.
-func (l *Loader) Lacks(hash string) bool { return len(l.asked[hash]) > 0 }
+// Lacks reports whether content that Missing listed has not been added since.
+func (l *Loader) Lacks(hash string) bool { return len(l.requested[hash]) > 0 }
 
-// Add decodes an index or a page. What was not missing is passed over.
+// Add decodes an index or a page. Content that Missing did not list is ignored.
 func (l *Loader) Add(hash string, value []byte) error {
-	for _, ref := range l.asked[hash] {
+	for _, ref := range l.requested[hash] {
 		if err := l.add(ref, value); err != nil {
 			return err
 		}
 	}
-	delete(l.asked, hash)
+	delete(l.requested, hash)
 	return nil
 }
 
 func (l *Loader) add(ref api.PageRef, value []byte) error {
 	if ref.Index {
-		// A damaged one must not be kept: the loader would fail with every source.
+		// A damaged index must not be stored: loading would then fail whatever
+		// source the pages are read from.
 		if _, err := ReadIndex(ref, value); err != nil {
 			return err
 		}
 		l.indexes[ref.Hash] = value
-		l.known = false
+		l.resolved = false
 		return nil
 	}
 	p, err := readPage(ref, value)
@@ -97,7 +100,7 @@
 	return nil
 }
 
-// page is a page that was added or that the base has, or nil.
+// page returns an added page or one of the base set, or nil.
 func (l *Loader) page(ref api.PageRef) *page {
 	if p := l.pages[ref]; p != nil {
 		return p
@@ -105,20 +108,20 @@
 	return l.base.page(ref)
 }
 
-// Set makes the set. It fails with ErrMissingPages while anything is missing.
+// Set builds the set. It returns ErrMissingPages while pages or indexes are missing.
 func (l *Loader) Set() (*Set, error) {
 	next := &Set{Release: l.release.Sequence, tables: map[api.Kind]*table{}}
 	for _, kind := range api.OperatorKinds() {
 		next.tables[kind] = &table{kind: kind}
 	}
-	if err := l.list(); err != nil {
+	if err := l.resolve(); err != nil {
 		return nil, err
 	}
-	missing := make([]string, 0, len(l.absent))
-	for _, ref := range l.absent {
+	missing := make([]string, 0, len(l.missingIndexes))
+	for _, ref := range l.missingIndexes {
 		missing = append(missing, ref.Hash)
 	}
-	for _, ref := range l.listed {
+	for _, ref := range l.pageRefs {
 		t, ok := next.tables[ref.Kind]
 		if !ok {
 			return nil, eris.Wrapf(api.ErrUnknownKind, "%q", ref.Kind)
@@ -128,7 +131,7 @@
 			missing = append(missing, ref.Hash)
 			continue
 		}
-		if !t.takes(ref.Shard) {
+		if !t.canAppend(ref.Shard) {
 			return nil, eris.Wrapf(ErrDamagedPage, "%s/%s is out of order", ref.Kind, ref.Shard)
 		}
 		t.pages = append(t.pages, p)
@@ -141,8 +144,8 @@
 	return next, nil
 }
 
-// Load makes the set of a release from the pages that s has and those given by
-// content hash. Only pages that s lacks are decoded.
+// Load builds the set of a release from the pages of s and from values, which is
+// keyed by content hash. Only pages that s lacks are decoded.
 func (s *Set) Load(release api.Release, values map[string][]byte) (*Set, error) {
 	l := s.NewLoader(release)
 	for _, ref := range release.Pages {
--- a/internal/core/config/page.go
+++ b/internal/core/config/page.go
@@ -16,35 +16,38 @@
 )
 
 const (
-	// pageBytes is the size above which a page is split in two. Smaller pages
-	// make a change cheaper, more pages make a first load longer.
+	// pageBytes is the size in bytes above which a page is split in two. Smaller
+	// pages make a change cheaper; more pages make the first load slower.
 	pageBytes = 16 << 10
-	// maxShardBits bounds the depth of splitting. Names that share so many bits
-	// stay together whatever their size.
+	// maxShardBits limits the depth of splitting. Records whose name hashes share
+	// that many leading bits stay in one page whatever its size.
 	maxShardBits = 32
-	// hashBytes is the length of a page's content hash: SHA-256, cut.
+	// hashBytes is the length in bytes of a content hash, a truncated SHA-256.
 	hashBytes = 16
-	// recordOverhead is what a page adds to a record's own bytes.
+	// recordOverhead is an upper bound of the bytes that a page adds to a record.
 	recordOverhead = len(`{"version":18446744073709551615,"document":},`)
 )
 
-// ErrDamagedPage marks a page whose bytes are not those of its hash, or which
-// holds records that belong elsewhere.
+// ErrDamagedPage reports a page or index whose content does not match its hash, or
+// which contains entries that belong elsewhere.
 var ErrDamagedPage = eris.New("page is damaged: read it from the platform or another VM again")
 
-// page is the records of one kind whose names' hashes start with the shard's bits.
+// page holds the records of one kind whose name hashes start with the bits of a
+// shard, ordered by name.
 type page struct {
-	ref     api.PageRef
+	ref api.PageRef
+	// start is the lowest name hash of the shard.
 	start   uint64
 	records []*Record
-	bytes   int
+	// bytes is the result of sizeOf for the records.
+	bytes int
 }
 
-// nameHash spreads names over shards. It must never change: it decides which
-// page a record is in, on every VM.
+// nameHash distributes names over shards. It must never change, because it
+// determines the page of a record on every VM.
 func nameHash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// shardStart is the lowest name hash of a shard.
+// shardStart returns the lowest name hash of a shard.
 func shardStart(shard string) uint64 {
 	var start uint64
 	for i, bit := range shard {
@@ -55,7 +58,7 @@
 	return start
 }
 
-// inShard says whether a name belongs to a shard.
+// inShard reports whether a name belongs to a shard.
 func inShard(shard, name string) bool {
 	if shard == "" {
 		return true
@@ -63,9 +66,9 @@
 	return (nameHash(name)^shardStart(shard))>>(64-len(shard)) == 0
 }
 
-// newPages makes the pages of a shard's records, which are in order of name. It
-// splits them as far as their size asks, so that the pages of a set depend only
-// on its records: two VMs that build the same set give its pages the same hashes.
+// newPages makes the pages of a shard's records, which must be ordered by name. It
+// splits the shard until every page fits pageBytes. The pages of a set therefore
+// depend on its records only: two VMs that build the same set get the same hashes.
 func newPages(kind api.Kind, shard string, records []*Record) []*page {
 	size := sizeOf(records)
 	if size <= pageBytes || len(shard) == maxShardBits {
@@ -84,6 +87,7 @@
 	return append(newPages(kind, shard+"0", halves[0]), newPages(kind, shard+"1", halves[1])...)
 }
 
+// sizeOf returns the upper bound in bytes of the records' part of a page.
 func sizeOf(records []*Record) int {
 	size := 0
 	for _, record := range records {
@@ -92,7 +96,7 @@
 	return size
 }
 
-// value is the page's JSON.
+// value returns the page's JSON.
 func (p *page) value() []byte {
 	data := make([]byte, 0, p.bytes+128)
 	data = fmt.Appendf(data, `{"kind":%q,"shard":%q,"records":[`, p.ref.Kind, p.ref.Shard)
@@ -112,7 +116,7 @@
 	return hex.EncodeToString(sum[:hashBytes])
 }
 
-// find gives the record with a name, or nil.
+// find returns the record with a name, or nil.
 func (p *page) find(name string) *Record {
 	i, ok := slices.BinarySearchFunc(p.records, name, compareName)
 	if !ok {
@@ -123,10 +127,10 @@
 
 func compareName(record *Record, name string) int { return strings.Compare(record.Name, name) }
 
-// readPage decodes a page and checks that it is, to the byte, what this VM would
-// write for the same records. Its bytes come from the platform or another VM:
-// were they other than what was accepted, this VM would run a configuration that
-// nobody validated, and pass it on.
+// readPage decodes a page and checks that it is byte for byte what this VM would
+// write for the same records. Pages come from the platform or another VM; without
+// the check, this VM could run a configuration that was never validated and pass
+// it on to others.
 func readPage(ref api.PageRef, value []byte) (*page, error) {
 	var content api.Page
 	if err := json.Unmarshal(value, &content); err != nil {
@@ -141,7 +145,7 @@
 		if err != nil {
 			return nil, eris.Wrapf(ErrDamagedPage, "%s/%s: %v", ref.Kind, ref.Shard, err)
 		}
-		if !p.takes(record) {
+		if !p.canAppend(record) {
 			return nil, eris.Wrapf(ErrDamagedPage, "%s/%s holds %s, or holds it out of order", ref.Kind, ref.Shard, record.Key())
 		}
 		p.records = append(p.records, record)
@@ -153,8 +157,9 @@
 	return p, nil
 }
 
-// takes says whether a record may follow those that the page has.
-func (p *page) takes(record *Record) bool {
+// canAppend reports whether a record belongs to the page and sorts after its last
+// record.
+func (p *page) canAppend(record *Record) bool {
 	if record.Kind != p.ref.Kind || !inShard(p.ref.Shard, record.Name) {
 		return false
 	}
--- a/internal/core/config/record.go
+++ b/internal/core/config/record.go
@@ -10,45 +10,46 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// Record is one version of one record. It is not changed after it is made.
+// Record is one version of one record. It is immutable.
 type Record struct {
 	api.Header
 	// Version is the platform's version of the record's object.
 	Version uint64
-	// Raw is the record as its operator wrote it, in canonical JSON. Pages carry
-	// it, so that a VM passes on fields that it doesn't know.
+	// Raw is the record as the operator wrote it, in canonical JSON. Pages contain
+	// Raw, so that a VM preserves fields that it doesn't know.
 	Raw json.RawMessage
-	// Faults are what is wrong with the record by itself. A record is checked
-	// once, when it is read.
-	Faults api.Violations
-	// decoded is the spec. It is nil for kinds that are decoded when needed.
+	// Violations are the rules that the record breaks on its own, without regard to
+	// other records. A record is validated once, when it is decoded.
+	Violations api.Violations
+	// decoded is the decoded spec. It is nil for kinds that are decoded on demand.
 	decoded api.Spec
-	// specFrom and specTo are where the spec stands in Raw.
-	specFrom, specTo uint32
+	// specStart and specEnd are the byte range of the spec in Raw.
+	specStart, specEnd uint32
 }
 
-// Spec is the decoded spec, whatever schema version the record is written in.
-// It must not be changed. The spec of a client account is decoded anew by each
-// call: there are tens of thousands of accounts, most of them without requests
-// on this VM, and their decoded specs would take as much memory as Raw.
+// Spec returns the decoded spec, whatever schema version the record is written in.
+// The result must not be modified. The spec of a client account is decoded on
+// each call: there are tens of thousands of accounts, most of them without
+// requests on this VM, and their decoded specs would take as much memory as Raw.
 func (r *Record) Spec() api.Spec {
 	if r.decoded != nil {
 		return r.decoded
 	}
-	spec, err := api.DecodeSpec(api.Document{Header: r.Header, Spec: r.Raw[r.specFrom:r.specTo]})
+	spec, err := api.DecodeSpec(api.Document{Header: r.Header, Spec: r.Raw[r.specStart:r.specEnd]})
 	if err != nil {
-		// newRecord has decoded the same bytes. A spec made up here could lift an
-		// account's limits.
-		panic(fmt.Sprintf("%s: spec could be read once and can't be read again: %v", r.Key(), err))
+		// newRecord decoded the same bytes without an error. Returning an empty
+		// spec here could remove an account's limits.
+		panic(fmt.Sprintf("%s: decoding the spec failed although it succeeded before: %v", r.Key(), err))
 	}
 	return spec
 }
 
-// decodedWhenNeeded says whether records of a kind are kept without their specs.
-func decodedWhenNeeded(kind api.Kind) bool { return kind == api.KindClientAccount }
+// decodedOnDemand reports whether records of a kind are stored without their
+// decoded specs.
+func decodedOnDemand(kind api.Kind) bool { return kind == api.KindClientAccount }
 
-// NewRecord decodes a record from its JSON, which must not be changed
-// afterwards: the record keeps it.
+// NewRecord decodes and validates a record. The record may keep raw, which must not
+// be modified afterwards.
 func NewRecord(version uint64, raw []byte) (*Record, error) {
 	document, err := api.Decode(raw)
 	if err != nil {
@@ -67,20 +68,21 @@
 		return nil, eris.Wrap(api.ErrMalformed, err.Error())
 	}
 	record := &Record{
-		Header:  document.Header,
-		Version: version,
-		Raw:     canonical,
-		Faults:  api.ValidateSpec(document, spec),
+		Header:     document.Header,
+		Version:    version,
+		Raw:        canonical,
+		Violations: api.ValidateSpec(document, spec),
 	}
-	if !decodedWhenNeeded(record.Kind) {
+	if !decodedOnDemand(record.Kind) {
 		record.decoded = spec
 		return record, nil
 	}
 	return record, record.locateSpec(document)
 }
 
-// locateSpec finds the spec in Raw. Where the record was not written in
-// canonical form, its spec is no part of Raw to the byte, and Raw is read.
+// locateSpec sets the byte range of the spec in Raw. If the record was not written
+// in canonical form, the bytes of its spec may not occur in Raw, and Raw is
+// decoded instead.
 func (r *Record) locateSpec(document api.Document) error {
 	from := bytes.Index(r.Raw, document.Spec)
 	if from < 0 {
@@ -91,14 +93,14 @@
 		document = canonical
 		from = bytes.Index(r.Raw, document.Spec)
 	}
-	r.specFrom = uint32(from)
-	r.specTo = uint32(from + len(document.Spec))
+	r.specStart = uint32(from)
+	r.specEnd = uint32(from + len(document.Spec))
 	return nil
 }
 
-// canonicalJSON gives JSON the one form that survives storage: the platform's
-// client and the platform may each compact and escape what passes through them,
-// which would change a page's content hash between its writer and its reader.
+// canonicalJSON returns JSON compacted and escaped as encoding/json does. The
+// platform and its client may each compact and escape JSON that passes through
+// them, which would change a page's content hash between its writer and its reader.
 func canonicalJSON(raw []byte) (json.RawMessage, error) {
 	if isCanonical(raw) {
 		return raw, nil
@@ -106,8 +108,9 @@
 	return json.Marshal(json.RawMessage(raw))
 }
 
-// isCanonical says whether valid JSON surely has its canonical form already: no
-// space outside of strings, and nothing that is escaped.
+// isCanonical reports whether valid JSON is certain to be in canonical form: no
+// whitespace outside of strings and no characters that would be escaped. It may
+// return false for JSON in canonical form.
 func isCanonical(raw []byte) bool {
 	quoted := false
 	for i := 0; i < len(raw); i++ {
--- a/internal/core/config/record_test.go
+++ b/internal/core/config/record_test.go
@@ -8,10 +8,9 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// Symptom: an account runs with the limits of another text, or the VM stops.
-// Sequence: a record is written with spaces, escapes or the text of its spec
-// inside an annotation; its spec is decoded a second time. Cause: the spec is
-// looked for in the record's canonical form, which differs from what was written.
+// An account's spec is located in the canonical form of its record and decoded again
+// on demand. Records with whitespace, escapes or a second copy of the spec, whose
+// canonical form differs from the written one, must not yield another spec or panic.
 func TestAccountSpecIsTheSameWhenDecodedAgain(t *testing.T) {
 	g := NewWithT(t)
 	spec := `{"keySHA256":["` + apiKeySum(1) + `"],"burst":3,"homeDataCentre":"bornova"}`
@@ -24,28 +23,27 @@
 	} {
 		document, err := api.Decode([]byte(raw))
 		g.Expect(err).NotTo(HaveOccurred(), name)
-		wanted, err := api.DecodeSpec(document)
+		want, err := api.DecodeSpec(document)
 		g.Expect(err).NotTo(HaveOccurred(), name)
 		record, err := NewRecord(1, []byte(raw))
 		g.Expect(err).NotTo(HaveOccurred(), name)
-		g.Expect(record.Spec()).To(Equal(wanted), name)
+		g.Expect(record.Spec()).To(Equal(want), name)
 		g.Expect(record.Spec().(*api.ClientAccountSpec).Burst).To(Equal(3), name)
 	}
 }
 
-// Symptom: a VM keeps the memory of its first release for good. Sequence: tens
-// of thousands of records are changed and come in force. Cause: a map keeps its
-// room when it is emptied.
-func TestSettledChangesGiveTheirRoomBack(t *testing.T) {
+// Go maps keep their memory when entries are deleted. After a first release of tens
+// of thousands of records, the view must allocate a smaller map.
+func TestViewFreesMemoryOfAcceptedChanges(t *testing.T) {
 	g := NewWithT(t)
 	changes := manyAccounts(5_000)
 	view := NewView()
 	view.Listed(api.KindClientAccount, 6_000, changes, Empty())
-	out, err := Accept(Attempt{InForce: Empty(), Changes: append(basis(), changes...), Seen: view.Seen(), By: "vm"})
+	out, err := Accept(Attempt{InForce: Empty(), Changes: append(baseChanges(), changes...), Seen: view.Seen(), By: "vm"})
 	g.Expect(err).NotTo(HaveOccurred())
-	full := view.changes
+	former := view.changes
 	view.Rebase(Empty(), out.Set)
-	g.Expect(view.most).To(BeNumerically("<=", shrinkAbove))
-	full["Model/x"] = Change{}
-	g.Expect(view.changes).NotTo(HaveKey("Model/x"), "a new map")
+	g.Expect(view.peak).To(BeNumerically("<=", shrinkMinPeak))
+	former["Model/x"] = Change{}
+	g.Expect(view.changes).NotTo(HaveKey("Model/x"), "the view must use a new map")
 }
--- a/internal/core/config/routes.go
+++ b/internal/core/config/routes.go
@@ -8,15 +8,17 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// matchKey is what two routes must share to clash, beside a method.
+// matchKey is the part of a route that two conflicting routes have in common. They
+// also share a method.
 type matchKey struct {
 	host   string
 	prefix string
 }
 
-// routes checks that each route's service runs somewhere and that no request
-// fits two routes equally well: which one it takes would be left to chance.
-func (v *servingCheck) routes() {
+// checkRoutes checks that each route's service has a backend server that is not
+// leaving, and that no request matches two routes equally well, as its route
+// would then be arbitrary.
+func (v *servingCheck) checkRoutes() {
 	byMatch := map[matchKey][]*Record{}
 	for record := range v.set.Records(api.KindRoute) {
 		spec := record.Spec().(*api.RouteSpec)
@@ -25,16 +27,17 @@
 		}
 		key := matchKey{strings.ToLower(spec.Host), spec.PathPrefix}
 		for _, other := range byMatch[key] {
-			if methodsMeet(spec.Methods, other.Spec().(*api.RouteSpec).Methods) {
-				v.clash(record, other)
+			if methodsOverlap(spec.Methods, other.Spec().(*api.RouteSpec).Methods) {
+				v.reportRouteClash(record, other)
 			}
 		}
 		byMatch[key] = append(byMatch[key], record)
 	}
 }
 
-// unservedRoute names the servers of the service that are leaving, since a
-// change which makes the last one leave is at fault.
+// unservedRoute reports a route whose service has no server that stays. It lists the
+// leaving servers of the service as related, because a change that makes the last
+// one leave causes the violation.
 func unservedRoute(record *Record, spec *api.RouteSpec, set *Set) finding {
 	var leaving []string
 	for server := range set.Records(api.KindBackendServer) {
@@ -50,8 +53,8 @@
 	}, service: spec.Service}
 }
 
-func (v *servingCheck) clash(a, b *Record) {
-	if laterThan(b, a) {
+func (v *servingCheck) reportRouteClash(a, b *Record) {
+	if writtenAfter(b, a) {
 		a, b = b, a
 	}
 	v.report(finding{Violation: api.Violation{
@@ -62,8 +65,9 @@
 	}})
 }
 
-// methodsMeet says whether some method fits both lists; an empty one fits all.
-func methodsMeet(a, b []string) bool {
+// methodsOverlap reports whether two lists have a method in common. An empty list
+// stands for all methods.
+func methodsOverlap(a, b []string) bool {
 	if len(a) == 0 || len(b) == 0 {
 		return true
 	}
--- a/internal/core/config/set.go
+++ b/internal/core/config/set.go
@@ -1,5 +1,6 @@
-// Package config holds the configuration that is in force on a VM, and decides
-// what is accepted and what comes in force. It does no I/O.
+// Package config holds the configuration in force on a VM. It validates changes of
+// records, builds releases from the accepted ones, and decides which release comes
+// in force. It does no I/O.
 package config
 
 import (
@@ -10,12 +11,12 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// Set is one whole configuration. It is not changed after it is built; With
-// makes the next one at a cost in proportion to what changed.
+// Set is a complete configuration. It is immutable; the next one shares its
+// unchanged parts and costs in proportion to the changes.
 type Set struct {
 	// Release is the set's place in the sequence of releases; higher is newer.
 	Release uint64
-	// Models, Pipelines and Routes are keyed by record name. They must not be changed.
+	// Models, Pipelines and Routes are keyed by record name. They must not be modified.
 	Models    map[string]api.ModelSpec
 	Pipelines map[string]api.PipelineSpec
 	Routes    map[string]api.RouteSpec
@@ -24,7 +25,7 @@
 	keys   *keyIndex
 }
 
-// Empty is the set before any release.
+// Empty returns the set that is in force before the first release.
 func Empty() *Set { return newSet(0, nil) }
 
 // Server is a backend server with its record's name.
@@ -48,7 +49,7 @@
 	return set
 }
 
-// derive fills what is looked up from the tables.
+// derive builds the lookup structures from the tables.
 func (s *Set) derive() {
 	s.Models = specMap[api.ModelSpec](s.tables[api.KindModel])
 	s.Pipelines = specMap[api.PipelineSpec](s.tables[api.KindPipeline])
@@ -64,12 +65,12 @@
 	return specs
 }
 
-// Account gives a client account by its record's name.
+// Account returns a client account by its record's name.
 func (s *Set) Account(name string) (api.ClientAccountSpec, bool) {
 	return lookup[api.ClientAccountSpec](s.tables[api.KindClientAccount], name)
 }
 
-// Backend gives a backend server by its record's name.
+// Backend returns a backend server by its record's name.
 func (s *Set) Backend(name string) (api.BackendServerSpec, bool) {
 	return lookup[api.BackendServerSpec](s.tables[api.KindBackendServer], name)
 }
@@ -83,7 +84,7 @@
 	return *record.Spec().(*T), true
 }
 
-// Record gives a record by kind and name, or nil.
+// Record returns a record by kind and name, or nil.
 func (s *Set) Record(kind api.Kind, name string) *Record {
 	if t, ok := s.tables[kind]; ok {
 		return t.get(name)
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// Records gives the records of a kind in an order that depends only on their names.
+// Records returns the records of a kind in an order that depends only on their names.
 func (s *Set) Records(kind api.Kind) iter.Seq[*Record] {
 	if t, ok := s.tables[kind]; ok {
 		return t.all()
@@ -99,7 +100,7 @@
 	return func(func(*Record) bool) {}
 }
 
-// Count is the number of records of a kind.
+// Count returns the number of records of a kind.
 func (s *Set) Count(kind api.Kind) int {
 	if t, ok := s.tables[kind]; ok {
 		return t.count
@@ -107,7 +108,7 @@
 	return 0
 }
 
-// Servers lists the backend servers in order of name.
+// Servers returns the backend servers ordered by name.
 func (s *Set) Servers() []Server {
 	servers := make([]Server, 0, s.Count(api.KindBackendServer))
 	for record := range s.Records(api.KindBackendServer) {
@@ -119,7 +120,8 @@
 	return servers
 }
 
-// AccountByKey finds the account that owns the API key with the given SHA-256 sum in hex.
+// AccountByKey returns the name of the account that owns the API key with the given
+// SHA-256 sum in hex.
 func (s *Set) AccountByKey(sum string) (string, bool) {
 	key, ok := parseKeySum(sum)
 	if !ok {
--- a/internal/core/config/table.go
+++ b/internal/core/config/table.go
@@ -11,16 +11,15 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// table is the records of one kind in pages, in order of shard. It is not
-// changed after it is made: a change makes a new table that shares every page
-// which it doesn't touch.
+// table holds the records of one kind in pages, ordered by shard. It is immutable:
+// a change makes a new table that shares the unchanged pages.
 type table struct {
 	kind  api.Kind
 	pages []*page
 	count int
 }
 
-// newTable makes a table; of records with one name the last counts.
+// newTable makes a table. Of records with the same name the last one is used.
 func newTable(kind api.Kind, records []*Record) *table {
 	byName := make(map[string]*Record, len(records))
 	for _, record := range records {
@@ -30,17 +29,17 @@
 	return &table{kind: kind, pages: newPages(kind, "", sorted), count: len(sorted)}
 }
 
-// get gives the record with a name, or nil.
+// get returns the record with a name, or nil.
 func (t *table) get(name string) *Record {
-	if i := t.pageOf(name); i >= 0 {
+	if i := t.pageIndex(name); i >= 0 {
 		return t.pages[i].find(name)
 	}
 	return nil
 }
 
-// pageOf is the index of the page that a name belongs to, or -1. A shard
-// without records has no page.
-func (t *table) pageOf(name string) int {
+// pageIndex returns the index of the page that a name belongs to, or -1 if there is
+// none: a shard without records has no page.
+func (t *table) pageIndex(name string) int {
 	hash := nameHash(name)
 	i := sort.Search(len(t.pages), func(i int) bool { return t.pages[i].start > hash }) - 1
 	if i < 0 || !inShard(t.pages[i].ref.Shard, name) {
@@ -49,7 +48,7 @@
 	return i
 }
 
-// all gives the records in order of shard and name.
+// all returns the records ordered by shard and name.
 func (t *table) all() iter.Seq[*Record] {
 	return func(yield func(*Record) bool) {
 		for _, p := range t.pages {
@@ -62,13 +61,14 @@
 	}
 }
 
-// edit is a record's new state; a nil record is a deletion.
+// edit replaces or, if record is nil, deletes the record with a name.
 type edit struct {
 	name   string
 	record *Record
 }
 
-// with makes the table with edits. Its cost is that of the pages touched.
+// with returns a new table with the edits applied. The cost is proportional to the
+// pages that they change.
 func (t *table) with(edits []edit) *table {
 	next := &table{kind: t.kind, pages: slices.Clone(t.pages), count: t.count}
 	rest := slices.SortedFunc(slices.Values(edits), func(a, b edit) int {
@@ -80,10 +80,10 @@
 	return next
 }
 
-// apply makes those edits, of a list in order of name hash, that go to the first
-// one's shard. It returns the others.
+// apply applies the edits that belong to the shard of the first one and returns the
+// rest. The edits must be ordered by name hash.
 func (t *table) apply(edits []edit) []edit {
-	shard, records := t.place(edits[0].name)
+	shard, records := t.locate(edits[0].name)
 	n := 1
 	for n < len(edits) && inShard(shard, edits[n].name) {
 		n++
@@ -111,15 +111,16 @@
 
 func compareRecords(a, b *Record) int { return cmp.Compare(a.Name, b.Name) }
 
-// place gives the shard that a name goes to, and the records there.
-func (t *table) place(name string) (string, []*Record) {
-	if index := t.pageOf(name); index >= 0 {
+// locate returns the shard that a name belongs to and the shard's records.
+func (t *table) locate(name string) (string, []*Record) {
+	if index := t.pageIndex(name); index >= 0 {
 		return t.pages[index].ref.Shard, t.pages[index].records
 	}
 	if len(t.pages) == 0 {
 		return "", nil
 	}
-	// The name's shard is empty: it is the longest one that holds no other page.
+	// No page covers the name. Its shard is the largest one that contains it and
+	// overlaps no page.
 	shard := ""
 	hash := nameHash(name)
 	for t.overlaps(shard) {
@@ -132,24 +133,24 @@
 	return shard, nil
 }
 
-// firstFrom is the index of the first page whose shard starts where the given
-// one does, or later.
-func (t *table) firstFrom(shard string) int {
+// firstPageFrom returns the index of the first page whose shard starts at or after
+// the start of the given one.
+func (t *table) firstPageFrom(shard string) int {
 	start := shardStart(shard)
 	return sort.Search(len(t.pages), func(i int) bool { return t.pages[i].start >= start })
 }
 
-// page is the page that a reference names, or nil.
+// page returns the page that a reference names, or nil.
 func (t *table) page(ref api.PageRef) *page {
-	i := t.firstFrom(ref.Shard)
+	i := t.firstPageFrom(ref.Shard)
 	if i < len(t.pages) && t.pages[i].ref == ref {
 		return t.pages[i]
 	}
 	return nil
 }
 
-// takes says whether a shard may follow the pages that the table has.
-func (t *table) takes(shard string) bool {
+// canAppend reports whether a page of the shard may follow the table's last page.
+func (t *table) canAppend(shard string) bool {
 	if len(shard) > maxShardBits {
 		return false
 	}
@@ -160,21 +161,21 @@
 	return !strings.HasPrefix(shard, last) && shardStart(shard) > t.pages[len(t.pages)-1].start
 }
 
-// overlaps says whether a page's shard lies within the given one.
+// overlaps reports whether the shard of some page lies within the given one.
 func (t *table) overlaps(shard string) bool {
-	i := t.firstFrom(shard)
+	i := t.firstPageFrom(shard)
 	return i < len(t.pages) && strings.HasPrefix(t.pages[i].ref.Shard, shard)
 }
 
-// replace puts a shard's new records in place of its page, split or joined with
-// its neighbour as their size asks.
+// replace replaces the page of a shard by pages of new records. It splits the page
+// if it exceeds pageBytes, and merges it with its neighbour while both fit.
 func (t *table) replace(shard string, records []*Record) {
 	for shard != "" {
 		neighbour := t.neighbour(shard)
 		size := sizeOf(records)
-		var joined []*Record
+		var neighbourRecords []*Record
 		if neighbour != nil {
-			joined = neighbour.records
+			neighbourRecords = neighbour.records
 			size += neighbour.bytes
 		} else if t.overlaps(sibling(shard)) {
 			break
@@ -182,10 +183,10 @@
 		if size > pageBytes {
 			break
 		}
-		records = mergeByName(records, joined)
+		records = mergeByName(records, neighbourRecords)
 		shard = shard[:len(shard)-1]
 	}
-	from := t.firstFrom(shard)
+	from := t.firstPageFrom(shard)
 	to := from
 	for to < len(t.pages) && strings.HasPrefix(t.pages[to].ref.Shard, shard) {
 		to++
@@ -193,17 +194,18 @@
 	t.pages = slices.Replace(t.pages, from, to, newPages(t.kind, shard, records)...)
 }
 
-// neighbour is the page that would be joined with the shard's, or nil when
-// there is none or it is split further.
+// neighbour returns the page of the sibling shard, which could be merged with the
+// shard's page. It returns nil if there is none or it is split further.
 func (t *table) neighbour(shard string) *page {
 	other := sibling(shard)
-	i := t.firstFrom(other)
+	i := t.firstPageFrom(other)
 	if i < len(t.pages) && t.pages[i].ref.Shard == other {
 		return t.pages[i]
 	}
 	return nil
 }
 
+// sibling returns the shard whose last bit differs.
 func sibling(shard string) string {
 	last := len(shard) - 1
 	if shard[last] == '0' {
--- a/internal/core/config/table_test.go
+++ b/internal/core/config/table_test.go
@@ -12,8 +12,9 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// paddedRecord is an account's record; padding makes pages split after a few.
-func paddedRecord(t require, name string, version uint64, padding int) *Record {
+// paddedRecord returns an account's record with padding bytes of annotation, so that
+// a few records fill a page.
+func paddedRecord(t fataler, name string, version uint64, padding int) *Record {
 	sum := fmt.Sprintf("%064x", nameHash(name))
 	raw := fmt.Sprintf(`{"kind":"ClientAccount","schemaVersion":"v1","name":%q,"annotations":{"pad":"%0*d"},"spec":{"keySHA256":[%q]}}`, name, padding, 0, sum)
 	record, err := NewRecord(version, []byte(raw))
@@ -23,19 +24,18 @@
 	return record
 }
 
-// require is what *testing.T and *rapid.T share.
-type require interface {
+// fataler is implemented by *testing.T and *rapid.T.
+type fataler interface {
 	Fatalf(format string, args ...any)
 }
 
-// Symptom: two VMs that hold the same records disagree about a release, and each
-// fetches pages that it has. Sequence: one VM came to the records by many small
-// changes, the other read them at once; pages were split or joined by the way
-// that was taken. Cause: a page layout that depends on history.
+// The page layout must depend on the records only, not on the history of changes.
+// Otherwise two VMs with the same records would disagree about a release and read
+// pages that they have.
 func TestPagesDependOnRecordsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := map[string]*Record{}
-		grown := newTable(api.KindClientAccount, nil)
+		incremental := newTable(api.KindClientAccount, nil)
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for version := range uint64(steps) {
 			var edits []edit
@@ -49,19 +49,19 @@
 				records[name] = paddedRecord(t, name, version+1, rapid.IntRange(10, 9000).Draw(t, "bytes"))
 				edits = append(edits, edit{name: name, record: records[name]})
 			}
-			before := refsOf(grown)
-			next := grown.with(edits)
-			if !slices.Equal(before, refsOf(grown)) {
-				t.Fatalf("a change altered the table that it started from")
+			before := refsOf(incremental)
+			next := incremental.with(edits)
+			if !slices.Equal(before, refsOf(incremental)) {
+				t.Fatalf("with modified the original table")
 			}
-			grown = next
+			incremental = next
 		}
-		fresh := newTable(api.KindClientAccount, slices.Collect(maps.Values(records)))
-		if !slices.Equal(refsOf(grown), refsOf(fresh)) || grown.count != fresh.count {
-			t.Fatalf("pages after changes %v, built at once %v", refsOf(grown), refsOf(fresh))
+		rebuilt := newTable(api.KindClientAccount, slices.Collect(maps.Values(records)))
+		if !slices.Equal(refsOf(incremental), refsOf(rebuilt)) || incremental.count != rebuilt.count {
+			t.Fatalf("pages after incremental changes are %v, built in one go %v", refsOf(incremental), refsOf(rebuilt))
 		}
 		for name, record := range records {
-			if grown.get(name) != record {
+			if incremental.get(name) != record {
 				t.Fatalf("%s is not found", name)
 			}
 		}
@@ -76,9 +76,8 @@
 	return refs
 }
 
-// Symptom: a VM runs records that nobody accepted. Sequence: a page comes from
-// the platform or another VM with bytes changed, records of another kind, or a
-// release lists its pages twice. Cause: content taken on trust.
+// A page that is corrupt, has another kind, or is listed twice must be refused.
+// Otherwise a VM would run records that were never accepted.
 func TestDamagedPagesAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	set := newSet(3, []*Record{paddedRecord(t, "a", 1, 10), paddedRecord(t, "b", 2, 10)})
--- a/internal/core/config/validate.go
+++ b/internal/core/config/validate.go
@@ -9,22 +9,22 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// finding is something wrong between the records of a set.
+// finding is a violation between records of a set.
 type finding struct {
 	api.Violation
-	// model or service is set when the servers of it as a whole are the cause,
-	// those that have left the set included.
+	// model or service is set if any change of its servers may be the cause,
+	// including the deletion of a server.
 	model   string
 	service string
 }
 
-// Validate reports everything that is wrong between the records of a set, and
-// with each by itself.
+// Validate returns all violations in a set, of each record on its own and between
+// records.
 func Validate(set *Set) api.Violations {
 	var found api.Violations
 	for _, kind := range api.OperatorKinds() {
 		for record := range set.Records(kind) {
-			found = append(found, record.Faults...)
+			found = append(found, record.Violations...)
 		}
 	}
 	for _, f := range append(validateServing(set), validateAccounts(set, set.Records(api.KindClientAccount))...) {
@@ -33,10 +33,10 @@
 	return found
 }
 
-// validateChanged reports what is wrong between the records of latest, as far as
-// edits that led to it from former can have a part in it. A change of accounts
-// costs in proportion to itself; one of the other kinds, of which there are
-// fewer, costs in proportion to their number.
+// validateChanged reports the violations between records of latest that the edits
+// from former to latest can have caused. For accounts the cost is proportional
+// to the edits. For the other kinds, of which there are fewer records, it is
+// proportional to the number of records.
 func validateChanged(former, latest *Set, edits map[api.Kind][]edit) []finding {
 	var found []finding
 	for _, kind := range api.OperatorKinds() {
@@ -75,7 +75,7 @@
 		for i, pipeline := range spec.Pipelines {
 			if _, ok := set.Pipelines[pipeline]; !ok {
 				field := fmt.Sprintf("pipelines[%d]", i)
-				found = append(found, missing(record, field, api.KindPipeline, pipeline))
+				found = append(found, missingReference(record, field, api.KindPipeline, pipeline))
 			}
 		}
 		found = append(found, duplicateKeys(set, record, spec)...)
@@ -83,8 +83,8 @@
 	return found
 }
 
-// duplicateKeys reports API keys of an account that another has too: the VM
-// could not say whose request it is, nor whose answer.
+// duplicateKeys reports API keys of an account that another account has too: a VM
+// could not attribute a request or its response to one account.
 func duplicateKeys(set *Set, record *Record, spec *api.ClientAccountSpec) []finding {
 	var found []finding
 	for i, text := range spec.KeySHA256 {
@@ -94,7 +94,7 @@
 		}
 		for _, owner := range set.keys.owners(sum) {
 			other := set.Record(api.KindClientAccount, owner.account)
-			if other == nil || other.Name == record.Name || !laterThan(record, other) {
+			if other == nil || other.Name == record.Name || !writtenAfter(record, other) {
 				continue
 			}
 			found = append(found, finding{Violation: api.Violation{
@@ -108,13 +108,14 @@
 	return found
 }
 
-// laterThan says whether a was written after b; of two records that clash, the
-// later one is at fault.
-func laterThan(a, b *Record) bool {
+// writtenAfter reports whether a was written after b. Of two conflicting records,
+// the later one is refused.
+func writtenAfter(a, b *Record) bool {
 	return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Name, b.Name)) > 0
 }
 
-func missing(record *Record, field string, kind api.Kind, name string) finding {
+// missingReference reports a reference to a record that is not in the set.
+func missingReference(record *Record, field string, kind api.Kind, name string) finding {
 	target := api.Key(kind, name)
 	return finding{Violation: api.Violation{
 		Rule: api.RuleReference, Record: record.Key(), Field: api.FieldPath(record.Header, field),
@@ -124,38 +125,38 @@
 	}}
 }
 
-// validateServing checks everything but the accounts.
+// validateServing checks models, pipelines, backend servers and routes.
 func validateServing(set *Set) []finding {
 	v := &servingCheck{set: set, byModel: map[string][]*Record{}, services: map[string]bool{}, byAddress: map[string]*Record{}}
 	for record := range set.Records(api.KindBackendServer) {
-		v.backend(record)
+		v.checkServer(record)
 	}
 	for record := range set.Records(api.KindPipeline) {
-		v.pipeline(record)
+		v.checkPipeline(record)
 	}
-	for _, name := range slices.Sorted(maps.Keys(v.offered)) {
-		v.joinable(name)
+	for _, name := range slices.Sorted(maps.Keys(v.servable)) {
+		v.checkRanges(name)
 	}
-	v.routes()
+	v.checkRoutes()
 	return v.found
 }
 
-// servingCheck is one check of models, pipelines, backend servers and routes.
+// servingCheck is the state of one run of validateServing.
 type servingCheck struct {
 	set       *Set
 	byModel   map[string][]*Record
 	services  map[string]bool
 	byAddress map[string]*Record
-	offered   map[string]bool
+	servable  map[string]bool
 	found     []finding
 }
 
 func (v *servingCheck) report(f finding) { v.found = append(v.found, f) }
 
-func (v *servingCheck) backend(record *Record) {
+func (v *servingCheck) checkServer(record *Record) {
 	spec := record.Spec().(*api.BackendServerSpec)
 	if other, ok := v.byAddress[spec.Address]; ok {
-		v.sameAddress(record, other)
+		v.reportSameAddress(record, other)
 	}
 	v.byAddress[spec.Address] = record
 	if spec.Service != "" {
@@ -164,13 +165,13 @@
 	}
 	model, ok := v.set.Models[spec.Model]
 	if !ok {
-		v.report(missing(record, "model", api.KindModel, spec.Model))
+		v.report(missingReference(record, "model", api.KindModel, spec.Model))
 		return
 	}
 	related := []string{api.Key(api.KindModel, spec.Model)}
-	fits := true
+	valid := true
 	if spec.Layers.To > model.Layers {
-		fits = false
+		valid = false
 		v.report(finding{Violation: api.Violation{
 			Rule: api.RuleOverlap, Record: record.Key(), Field: api.FieldPath(record.Header, "layers.to"),
 			Problem: fmt.Sprintf("%v goes beyond the model's [0,%d)", spec.Layers, model.Layers),
@@ -178,20 +179,20 @@
 		}})
 	}
 	if spec.ModelVersion != "" && spec.ModelVersion != model.Version {
-		fits = false
+		valid = false
 		v.report(finding{Violation: api.Violation{
 			Rule: api.RuleVersion, Record: record.Key(), Field: api.FieldPath(record.Header, "modelVersion"),
 			Problem: fmt.Sprintf("%q is not the model's version %q", spec.ModelVersion, model.Version),
 			Remedy:  "change the Model record and all its servers in one apply, or leave the field out", Related: related,
 		}})
 	}
-	if fits && !spec.Leaving {
+	if valid && !spec.Leaving {
 		v.byModel[spec.Model] = append(v.byModel[spec.Model], record)
 	}
 }
 
-func (v *servingCheck) sameAddress(a, b *Record) {
-	if laterThan(b, a) {
+func (v *servingCheck) reportSameAddress(a, b *Record) {
+	if writtenAfter(b, a) {
 		a, b = b, a
 	}
 	v.report(finding{Violation: api.Violation{
@@ -201,34 +202,34 @@
 	}})
 }
 
-func (v *servingCheck) pipeline(record *Record) {
+func (v *servingCheck) checkPipeline(record *Record) {
 	spec := record.Spec().(*api.PipelineSpec)
 	model, ok := v.set.Models[spec.Model]
 	if !ok {
-		v.report(missing(record, "model", api.KindModel, spec.Model))
+		v.report(missingReference(record, "model", api.KindModel, spec.Model))
 		return
 	}
-	if v.offered == nil {
-		v.offered = map[string]bool{}
+	if v.servable == nil {
+		v.servable = map[string]bool{}
 	}
-	c := coverageOf(model.Layers, v.byModel[spec.Model])
-	v.offered[spec.Model] = v.offered[spec.Model] || c.whole()
+	c := newCoverage(model.Layers, v.byModel[spec.Model])
+	v.servable[spec.Model] = v.servable[spec.Model] || c.complete()
 	related := []string{api.Key(api.KindModel, spec.Model)}
-	if violation, wrong := c.check(record, spec, related); wrong {
+	if violation, violated := c.check(record, spec, related); violated {
 		v.report(finding{Violation: violation, model: spec.Model})
 	}
 }
 
-// joinable reports servers of a model whose range is on no way through it: they
-// could never get work.
-func (v *servingCheck) joinable(model string) {
-	if !v.offered[model] {
+// checkRanges reports servers of a model whose range is part of no complete chain
+// through its layers: they would never receive work.
+func (v *servingCheck) checkRanges(model string) {
+	if !v.servable[model] {
 		return
 	}
-	c := coverageOf(v.set.Models[model].Layers, v.byModel[model])
+	c := newCoverage(v.set.Models[model].Layers, v.byModel[model])
 	for _, record := range v.byModel[model] {
 		layers := record.Spec().(*api.BackendServerSpec).Layers
-		if c.forward[layers.From] > 0 && c.backward[layers.To] {
+		if c.bestRate[layers.From] > 0 && c.reachesEnd[layers.To] {
 			continue
 		}
 		v.report(finding{Violation: api.Violation{
--- a/internal/core/config/view.go
+++ b/internal/core/config/view.go
@@ -8,34 +8,35 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// View is how the operators' records stand in the platform, as far as this VM
-// has seen: it keeps only where they differ from the set in force.
+// View tracks the operators' records in the platform as observed by this VM. It
+// stores only the differences from the set in force.
 type View struct {
 	seen    map[api.Kind]uint64
 	changes map[string]Change
-	// most is the highest number of changes since their map was made.
-	most int
+	// peak is the highest number of changes since the map was allocated.
+	peak int
 }
 
 const (
-	// shrinkAbove is the number of changes that are not worth shrinking.
-	shrinkAbove = 64
-	// shrinkFactor is by what factor changes must have become fewer. Each
-	// shrinking copies what is left, so the cost of a change stays bounded.
+	// shrinkMinPeak is the peak below which the map is not shrunk.
+	shrinkMinPeak = 64
+	// shrinkFactor is the factor by which the number of changes must have fallen
+	// below the peak before the map is shrunk. Shrinking copies the remaining
+	// changes, and the factor keeps the amortized cost of a change bounded.
 	shrinkFactor = 4
 )
 
-// NewView makes a view that has seen nothing.
+// NewView returns a view without any observed records.
 func NewView() *View {
 	return &View{seen: map[api.Kind]uint64{}, changes: map[string]Change{}}
 }
 
-// Seen is, by kind, the platform's version up to which records have been seen.
+// Seen returns, by kind, the platform's version up to which records have been observed.
 func (v *View) Seen() map[api.Kind]uint64 { return maps.Clone(v.seen) }
 
-// Listed takes a whole list of a kind, made at a version of the platform. It
-// returns false, and changes nothing, when something newer has been seen: a
-// list that was long under way must not undo the watch events after it.
+// Listed applies a full list of a kind, taken at a version of the platform. It
+// returns false and changes nothing if something newer has been observed: a
+// delayed list must not undo later watch events.
 func (v *View) Listed(kind api.Kind, version uint64, items []Change, inForce *Set) bool {
 	if version < v.seen[kind] {
 		return false
@@ -55,9 +56,9 @@
 	return true
 }
 
-// Watched takes one event of a watch. It returns false, and changes nothing,
-// when the event or something newer of the kind has been seen: events are
-// repeated after a reconnection. Within one watch they come in order.
+// Watched applies a watch event. It returns false and changes nothing if the event
+// or something newer of the kind has been observed: events are repeated after a
+// reconnection. Within one watch they arrive in order.
 func (v *View) Watched(change Change, inForce *Set) bool {
 	if change.Version <= v.seen[change.Kind] {
 		return false
@@ -67,37 +68,39 @@
 	return true
 }
 
-// Bookmarked takes the platform's word that a kind has been seen up to a
-// version. Without it a kind that nobody writes to would keep a VM's view older
-// than a release made by another VM, and the VM could never accept.
+// Bookmarked applies a bookmark event: the platform's confirmation that all events
+// of a kind up to a version have been sent. Without bookmarks, a kind without
+// writes would leave a VM's view older than another VM's release, and the VM
+// could never accept changes.
 func (v *View) Bookmarked(kind api.Kind, version uint64) {
 	v.seen[kind] = max(v.seen[kind], version)
 }
 
+// put records a change, or drops it if the set in force already has it.
 func (v *View) put(change Change, inForce *Set) {
 	if change.matches(inForce.Record(change.Kind, change.Name)) {
 		delete(v.changes, change.Key())
 		v.shrink()
 		return
 	}
-	v.most = max(v.most, len(v.changes)+1)
+	v.peak = max(v.peak, len(v.changes)+1)
 	v.changes[change.Key()] = change
 }
 
-// shrink gives back the memory of changes that are settled. A map never shrinks:
-// after a first release of tens of thousands of records, the VM would keep room
-// for them all in a map that is empty.
+// shrink reallocates the map after most changes have been accepted. Go maps never
+// shrink: after a first release of tens of thousands of records, the VM would
+// keep the memory for all of them in an empty map.
 func (v *View) shrink() {
-	if v.most < shrinkAbove || len(v.changes) > v.most/shrinkFactor {
+	if v.peak < shrinkMinPeak || len(v.changes) > v.peak/shrinkFactor {
 		return
 	}
-	settled := v.changes
-	v.changes = make(map[string]Change, len(settled))
-	maps.Copy(v.changes, settled)
-	v.most = len(settled)
+	oversized := v.changes
+	v.changes = make(map[string]Change, len(oversized))
+	maps.Copy(v.changes, oversized)
+	v.peak = len(oversized)
 }
 
-// matches says whether the record in force is the one that the change wrote.
+// matches reports whether the record in force is the result of the change.
 func (c Change) matches(record *Record) bool {
 	if len(c.Raw) == 0 || record == nil {
 		return len(c.Raw) == 0 && record == nil
@@ -105,8 +108,9 @@
 	return record.Version == c.Version
 }
 
-// Rebase keeps the view right when another set comes in force, at a cost in
-// proportion to what differs between the two.
+// Rebase updates the view when another set comes in force, so that it stores the
+// differences from the latest set. The cost is proportional to what differs
+// between the two sets.
 func (v *View) Rebase(former, latest *Set) {
 	for _, d := range former.Compare(latest) {
 		change, changed := v.changes[api.Key(d.Kind, d.Name)]
@@ -121,8 +125,8 @@
 	}
 }
 
-// Changes lists where the platform's records differ from those in force, in the
-// order in which they were written.
+// Changes returns the differences between the platform's records and those in
+// force, in the order in which they were written.
 func (v *View) Changes() []Change {
 	return slices.SortedFunc(maps.Values(v.changes), func(a, b Change) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Key(), b.Key()))
--- a/internal/core/config/view_test.go
+++ b/internal/core/config/view_test.go
@@ -17,61 +17,58 @@
 	return found
 }
 
-// Symptom: a record written a moment ago is reported as deleted. Sequence: a list
-// is asked for, a watch event arrives, then the list's answer, made before it.
-// Cause: the list taken as the newer of the two.
+// A list that was taken before a watch event but arrives after it must be ignored.
+// Otherwise a record that was just written would be reported as deleted.
 func TestStaleListAfterNewerEventIsIgnored(t *testing.T) {
 	f := newFixture(t)
 	view := NewView()
-	model := basis()[0]
+	model := baseChanges()[0]
 	f.Expect(view.Listed(api.KindModel, 8, []Change{model}, f.set)).To(BeTrue())
-	f.Expect(view.Watched(written(api.KindModel, "n", 10, "v1", `{"layers":1,"version":"w"}`), f.set)).To(BeTrue())
+	f.Expect(view.Watched(recordChange(api.KindModel, "n", 10, "v1", `{"layers":1,"version":"w"}`), f.set)).To(BeTrue())
 	f.Expect(view.Listed(api.KindModel, 9, []Change{model}, f.set)).To(BeFalse())
 	f.Expect(names(view.Changes())).To(Equal([]string{"n@10"}))
 	f.Expect(view.Seen()).To(Equal(map[api.Kind]uint64{api.KindModel: 10}))
 	f.Expect(view.Listed(api.KindModel, 11, nil, f.set)).To(BeTrue())
-	f.Expect(names(view.Changes())).To(Equal([]string{"m@11"}), "a newer list that lacks the model says that it is deleted")
+	f.Expect(names(view.Changes())).To(Equal([]string{"m@11"}), "a newer list without the model means that it was deleted")
 }
 
-// Symptom: a refused record that was corrected is judged in its old form again.
-// Sequence: a watch is opened anew and repeats events. Cause: a repeated event
-// taken as news.
+// A reconnected watch repeats events. A repeated event must be ignored, or the
+// invalid version of a corrected record would be evaluated again.
 func TestRepeatedEventIsIgnored(t *testing.T) {
 	f := newFixture(t)
 	view := NewView()
-	bad := written(api.KindModel, "n", 10, "v1", `{"layers":0,"version":"w"}`)
-	good := written(api.KindModel, "n", 11, "v1", `{"layers":1,"version":"w"}`)
+	bad := recordChange(api.KindModel, "n", 10, "v1", `{"layers":0,"version":"w"}`)
+	good := recordChange(api.KindModel, "n", 11, "v1", `{"layers":1,"version":"w"}`)
 	f.Expect(view.Watched(bad, f.set)).To(BeTrue())
 	f.Expect(view.Watched(good, f.set)).To(BeTrue())
 	f.Expect(view.Watched(bad, f.set)).To(BeFalse())
 	f.Expect(names(view.Changes())).To(Equal([]string{"n@11"}))
 }
 
-// Symptom: a VM goes on trying to accept what is in force, or forgets what isn't.
-// Sequence: another VM's release comes in force while this one has changes of its
-// own in view and hasn't seen all of that VM's. Cause: changes kept against the
-// wrong set.
-func TestViewFollowsTheSetInForce(t *testing.T) {
+// Another VM's release comes in force while this VM's view has changes that are not
+// in it and lacks changes that are. The view must be rebased, or the VM would try
+// to accept what is already in force or lose what is not.
+func TestRebaseAfterAnotherVMsRelease(t *testing.T) {
 	f := newFixture(t)
 	view := NewView()
-	mine := written(api.KindModel, "mine", 10, "v1", `{"layers":0,"version":"w"}`)
-	both := written(api.KindModel, "both", 11, "v1", `{"layers":1,"version":"w"}`)
-	unseen := written(api.KindModel, "unseen", 12, "v1", `{"layers":1,"version":"w"}`)
+	mine := recordChange(api.KindModel, "mine", 10, "v1", `{"layers":0,"version":"w"}`)
+	both := recordChange(api.KindModel, "both", 11, "v1", `{"layers":1,"version":"w"}`)
+	unseen := recordChange(api.KindModel, "unseen", 12, "v1", `{"layers":1,"version":"w"}`)
 	view.Watched(mine, f.set)
 	view.Watched(both, f.set)
 	former := f.set
 	f.accept(both, unseen)
 	view.Rebase(former, f.set)
-	f.Expect(names(view.Changes())).To(Equal([]string{"mine@10", "unseen@11"}), "unseen is, to this view, not there")
+	f.Expect(names(view.Changes())).To(Equal([]string{"mine@10", "unseen@11"}), "the view has not observed the record unseen")
 	_, err := Accept(Attempt{InForce: f.set, Release: f.release, Changes: view.Changes(), Seen: view.Seen()})
-	f.Expect(err).To(MatchError(ErrStaleView), "and so it may not accept yet")
+	f.Expect(err).To(MatchError(ErrStaleView), "a view that is behind the release must not accept")
 	view.Watched(unseen, f.set)
 	f.Expect(names(view.Changes())).To(Equal([]string{"mine@10"}))
 }
 
-// Symptom: what is in force goes back, or a damaged or foreign release is run.
-// Cause: a release taken without a look at the one in force.
-func TestJudgeRelease(t *testing.T) {
+// An offered release must be compared with the one in force, or a VM could regress
+// to an older release or adopt a forked or implausible one.
+func TestDecisionOnOfferedRelease(t *testing.T) {
 	release := func(sequence uint64, by string) api.Release { return api.Release{Sequence: sequence, By: by} }
 	for _, c := range []struct {
 		inForce, offered api.Release
@@ -84,21 +81,21 @@
 		{release(7, "a"), release(7, "b"), FromPlatform, Forked},
 		{release(7, "a"), release(6, "a"), FromPlatform, Older},
 		{release(7, "a"), release(0, ""), FromPlatform, Older},
-		{release(7, "a"), release(7+maxJump, "b"), FromPeer, Adopt},
-		{release(7, "a"), release(8+maxJump, "b"), FromPeer, Implausible},
-		{release(7, "a"), release(8+maxJump, "b"), FromPlatform, Adopt},
+		{release(7, "a"), release(7+maxPeerLead, "b"), FromPeer, Adopt},
+		{release(7, "a"), release(8+maxPeerLead, "b"), FromPeer, Implausible},
+		{release(7, "a"), release(8+maxPeerLead, "b"), FromPlatform, Adopt},
 	} {
 		NewWithT(t).Expect(Judge(c.inForce, c.offered, c.source)).To(Equal(c.want), "%d after %d from %s", c.offered.Sequence, c.inForce.Sequence, c.source)
 	}
 }
 
-// Symptom: a deleted account can still call, or a list of changes lacks it.
-// Sequence: the release that deletes it is loaded from pages, most of them held.
-// Cause: only pages that are new looked at for what has changed.
-func TestLoadingForgetsWhatIsGone(t *testing.T) {
+// A release that deletes an account is loaded from pages most of which the VM has.
+// Differences must be found in new and in removed pages, or the deleted account
+// could still send requests and be missing from the list of changes.
+func TestLoadDropsDeletedRecords(t *testing.T) {
 	f := newFixture(t)
 	former := f.set
-	out := f.accept(Change{Kind: api.KindClientAccount, Name: "hr", Version: 20}, server("spare", 21, 0, 12))
+	out := f.accept(Change{Kind: api.KindClientAccount, Name: "hr", Version: 20}, serverChange("spare", 21, 0, 12))
 	values := map[string][]byte{}
 	missing, err := former.Missing(*out.Release, nil)
 	f.Expect(err).NotTo(HaveOccurred())
@@ -110,10 +107,10 @@
 	_, known := loaded.AccountByKey(fmt.Sprintf("%064x", 1))
 	f.Expect(known).To(BeFalse())
 	_, known = former.AccountByKey(fmt.Sprintf("%064x", 1))
-	f.Expect(known).To(BeTrue(), "the former set is as it was")
-	var gone []string
+	f.Expect(known).To(BeTrue(), "the former set must not change")
+	var differences []string
 	for _, d := range former.Compare(loaded) {
-		gone = append(gone, fmt.Sprintf("%s before %t after %t", api.Key(d.Kind, d.Name), d.Before != nil, d.After != nil))
+		differences = append(differences, fmt.Sprintf("%s before %t after %t", api.Key(d.Kind, d.Name), d.Before != nil, d.After != nil))
 	}
-	f.Expect(gone).To(Equal([]string{"BackendServer/spare before false after true", "ClientAccount/hr before true after false"}))
+	f.Expect(differences).To(Equal([]string{"BackendServer/spare before false after true", "ClientAccount/hr before true after false"}))
 }
