--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -18,205 +18,211 @@
 	"oleandershunt.example/oleandershunt/internal/wire"
 )
 
-// The figures of an attempt.
+// Suspicion times and thresholds of failed attempts.
 const (
-	// suspectRefused keeps new requests off a server that couldn't be reached.
-	suspectRefused = time.Second
-	// suspectMoved keeps them off one that isn't what its entry says, until the next
-	// word of it.
-	suspectMoved = time.Second
-	// silentRefusal is how long a refusal takes that is due to silence: a server
-	// that is full refuses at once.
-	silentRefusal = time.Second
-	// suspectDark keeps them off one that fell silent, until the platform has
-	// noticed: three missed signs of life and the time that a list takes.
-	suspectDark = 4 * time.Second
+	// suspectUnreachable keeps new requests off a server that couldn't be reached.
+	suspectUnreachable = time.Second
+	// suspectMisdirected keeps new requests off a server whose process isn't the one in its
+	// entry, until the next update of that entry.
+	suspectMisdirected = time.Second
+	// slowRefusal is the duration from which a refusal counts as caused by an unresponsive
+	// server on the path: a full server refuses at once.
+	slowRefusal = time.Second
+	// suspectUnresponsive keeps new requests off an unresponsive server until the platform has
+	// detected the failure: three missed heartbeats plus the time to list the servers.
+	suspectUnresponsive = 4 * time.Second
 )
 
-// fate is what became of an attempt.
-type fate int
+// outcome is the result of an attempt.
+type outcome int
 
 const (
-	// answered: the head of a valid answer is there.
-	answered fate = iota
-	// notStarted: the server did not run the request.
-	notStarted
-	// uncertain: the server may have run it.
+	// responded: the head of a valid response has arrived.
+	responded outcome = iota
+	// notExecuted: the server did not run the request.
+	notExecuted
+	// uncertain: the server may have run the request.
 	uncertain
-	// unsent: nothing reached the server, which wanted no more requests when it was to be sent.
+	// unsent: nothing was sent, as the server stopped accepting requests before the request was
+	// written.
 	unsent
 )
 
-// opened is an attempt whose answer's head has come.
-type opened struct {
+// openAttempt is an attempt in progress. response is nil until the head of the response has
+// arrived.
+type openAttempt struct {
 	response *http.Response
 	choice   backends.Choice
 	load     backends.Load
-	// sent is the choice as it was when the request was sent; a move changes choice.
-	sent backends.Choice
-	// begun is when the request was sent, by bootclock.
-	begun  time.Duration
+	// sentTo is the choice at the time the request was sent; a move to another path changes
+	// choice.
+	sentTo backends.Choice
+	// sentAt is when the request was sent, by bootclock.
+	sentAt time.Duration
 	cancel context.CancelCauseFunc
 	ctx    context.Context
-	// watch may move the attempt to another choice until it is stopped. Nil for none.
-	watch *watchdog
+	// watchdog may move the attempt to another choice until it is stopped. Nil for none.
+	watchdog *watchdog
 }
 
-// progress says that the attempt brought events.
-func (o *opened) progress() {
-	if o.watch != nil {
-		o.watch.progress()
+// recordProgress reports to the watchdog that the attempt delivered events.
+func (o *openAttempt) recordProgress() {
+	if o.watchdog != nil {
+		o.watchdog.recordProgress()
 	}
 }
 
-// settle ends the watch, so that choice and load stay as they are.
-func (o *opened) settle() {
-	if o.watch != nil {
-		o.watch.stop()
+// stopWatchdog stops the watchdog; choice and load don't change afterwards.
+func (o *openAttempt) stopWatchdog() {
+	if o.watchdog != nil {
+		o.watchdog.stop()
 	}
 }
 
-func (o *opened) close(d *Dispatcher) {
+func (o *openAttempt) close(d *Dispatcher) {
 	o.cancel(nil)
 	if o.response != nil {
 		_ = o.response.Body.Close() // the connection isn't used again unless the body was read
 	}
-	d.done(o.load)
+	d.releaseLoad(o.load)
 }
 
-// send makes the attempt and reads the head of its answer.
-func (h *Handler) send(x *exchange, o *opened) fate {
-	ctx, sent := wire.WatchSentWhile(o.ctx, func() bool { return h.Dispatcher.wanted(o.sent) })
-	request := h.outgoing(ctx, x, o.sent)
+// send makes the attempt and reads the head of its response.
+func (h *Handler) send(x *exchange, o *openAttempt) outcome {
+	ctx, sent := wire.WatchSentWhile(o.ctx, func() bool { return h.Dispatcher.stillAccepts(o.sentTo) })
+	request := h.serverRequest(ctx, x, o.sentTo)
 	transport := h.pooled
 	if x.route.Repeat == routes.Once {
 		transport = h.fresh
 	}
-	h.countLimited(x, o)
+	h.countRateLimited(x, o)
 	x.sends++
-	begun := time.Now()
-	o.begun = bootclock.Now()
+	start := time.Now()
+	o.sentAt = bootclock.Now()
 	response, err := transport.RoundTrip(request)
 	if sent.Withheld() {
-		o.settle()
-		return h.withheld(x, o)
+		o.stopWatchdog()
+		return h.handleWithheld(x, o)
 	}
 	if err != nil {
-		o.settle()
-		return h.unanswered(x, o, sent.Any(), err)
+		o.stopWatchdog()
+		return h.handleNoResponse(x, o, sent.Any(), err)
 	}
 	o.response = response
-	answer := h.Wire.Answer(response)
-	h.signals.Take(said(x, o, answer))
-	h.Dispatcher.took(o, answer)
-	if answer.NotRun {
-		o.settle()
-		return h.notTaken(x, o, answer, time.Since(begun))
+	head := h.Wire.Answer(response)
+	h.signals.Take(signalsOf(x, o, head))
+	h.Dispatcher.recordExecution(o, head)
+	if head.NotRun {
+		o.stopWatchdog()
+		return h.handleNotExecuted(x, o, head, time.Since(start))
 	}
-	if problem := check(x, response, answer); problem != "" {
-		o.settle()
-		telemetry.RelayAttemptFailed.Log(h.Log, append(x.fields(), "server", o.choice.First.ID, "cause", problem)...)
-		x.failed(o.choice)
+	if problem := validateHead(x, response, head); problem != "" {
+		o.stopWatchdog()
+		telemetry.RelayAttemptFailed.Log(h.Log, append(x.logFields(), "server", o.choice.First.ID, "cause", problem)...)
+		x.recordFailure(o.choice)
 		return uncertain
 	}
-	return answered
+	return responded
 }
 
-// withheld gives an attempt up that its server didn't want any more when it was to be sent.
-func (h *Handler) withheld(x *exchange, o *opened) fate {
+// handleWithheld handles an attempt that wasn't sent because its server stopped accepting
+// requests before the request was written.
+func (h *Handler) handleWithheld(x *exchange, o *openAttempt) outcome {
 	x.sends--
 	metrics.GetOrCreateCounter(fmt.Sprintf("oleandershunt_relay_withheld_total{kind=%q}", x.attemptKind())).Inc()
-	telemetry.RelayWithheld.Log(h.Log, append(x.fields(), "server", o.sent.First.ID)...)
-	if x.refusals++; x.refusals >= refusalsBound {
-		return notStarted
+	telemetry.RelayWithheld.Log(h.Log, append(x.logFields(), "server", o.sentTo.First.ID)...)
+	if x.refusals++; x.refusals >= maxRefusals {
+		return notExecuted
 	}
 	return unsent
 }
 
-// unanswered judges an attempt that got no answer.
-func (h *Handler) unanswered(x *exchange, o *opened, sent bool, err error) fate {
+// handleNoResponse classifies an attempt that failed without a response.
+func (h *Handler) handleNoResponse(x *exchange, o *openAttempt, sent bool, err error) outcome {
 	if x.ctx.Err() != nil {
 		if sent {
 			x.mayHaveRun = true
 			return uncertain
 		}
-		return notStarted
+		return notExecuted
 	}
-	telemetry.RelayAttemptFailed.Log(h.Log, append(x.fields(), "server", o.choice.First.ID, "sent", sent, "cause", err.Error())...)
+	telemetry.RelayAttemptFailed.Log(h.Log, append(x.logFields(), "server", o.choice.First.ID, "sent", sent, "cause", err.Error())...)
 	if !sent {
-		h.Dispatcher.suspect(o.choice.First.ID, suspectRefused)
-		if refusedConnection(err) {
-			h.suspects.closed(o.choice.First)
+		h.Dispatcher.suspect(o.choice.First.ID, suspectUnreachable)
+		if isConnectionRefused(err) {
+			h.suspects.recordConnectionRefused(o.choice.First)
 		}
 		x.avoid = append(x.avoid, o.choice.First.ID)
 		x.refusals++
-		return notStarted
+		return notExecuted
 	}
-	h.brokeOff(x, o, err)
-	x.failed(o.choice)
+	h.recordBrokenConnection(x, o, err)
+	x.recordFailure(o.choice)
 	return uncertain
 }
 
-// notTaken judges an attempt that the servers say not to have run.
-func (h *Handler) notTaken(x *exchange, o *opened, answer Answer, took time.Duration) fate {
+// handleNotExecuted classifies an attempt that the servers report as not run.
+func (h *Handler) handleNotExecuted(x *exchange, o *openAttempt, head Answer, elapsed time.Duration) outcome {
 	x.refusals++
-	blamed, ok := o.choice.At(answer.Blame)
+	faulty, ok := o.choice.At(head.Blame)
 	if !ok {
-		blamed = o.choice.First.ID
+		faulty = o.choice.First.ID
 	}
 	switch {
 	case o.response.StatusCode == http.StatusMisdirectedRequest:
-		// Another process is there, or one that gave up the layers.
-		h.Dispatcher.suspect(blamed, suspectMoved)
-		x.avoid = append(x.avoid, blamed)
-	case took >= silentRefusal:
-		// A request may also have waited for its turn that long, before the server that
-		// is blamed gave up the layers. So it isn't proof that the server is lost.
-		h.Dispatcher.lost(blamed, false)
-		x.avoid = append(x.avoid, blamed)
-	case answer.Signals.Pause > 0:
-		// It has said itself for how long, and may take the request after that.
+		// Another process listens at the address, or the server dropped the layers.
+		h.Dispatcher.suspect(faulty, suspectMisdirected)
+		x.avoid = append(x.avoid, faulty)
+	case elapsed >= slowRefusal:
+		// The request may also have queued that long before the faulty server dropped the
+		// layers, so a slow refusal doesn't prove that the server is unresponsive.
+		h.Dispatcher.markUnresponsive(faulty, false)
+		x.avoid = append(x.avoid, faulty)
+	case head.Signals.Pause > 0:
+		// The server gave the length of the pause itself and may take the request afterwards.
 	case len(o.choice.Path) == 0:
-		h.Dispatcher.full(blamed)
-		x.avoid = append(x.avoid, blamed)
+		h.Dispatcher.markFull(faulty)
+		x.avoid = append(x.avoid, faulty)
 	default:
-		// It may have room again while the request waits, and no other may hold its layers.
-		h.Dispatcher.full(blamed)
+		// The server may have capacity again while the request waits, and there may be no other
+		// server with its layers.
+		h.Dispatcher.markFull(faulty)
 	}
-	telemetry.RelayAttemptRefused.Log(h.Log, append(x.fields(), "server", o.choice.First.ID, "blamed", blamed,
-		"status", o.response.StatusCode, "pauseMs", max(answer.Signals.Pause, 0).Milliseconds(), "path", o.choice.Path.String())...)
-	return notStarted
+	telemetry.RelayAttemptRefused.Log(h.Log, append(x.logFields(), "server", o.choice.First.ID, "blamed", faulty,
+		"status", o.response.StatusCode, "pauseMs", max(head.Signals.Pause, 0).Milliseconds(), "path", o.choice.Path.String())...)
+	return notExecuted
 }
 
-// failed notes that a server may have run the request and did not answer well.
-func (x *exchange) failed(choice backends.Choice) {
+// recordFailure records that a server may have run the request and did not return a valid
+// response.
+func (x *exchange) recordFailure(choice backends.Choice) {
 	x.mayHaveRun = true
 	x.avoid = append(x.avoid, choice.First.ID)
-	if !slices.Contains(x.ran, choice.First.ID) && !slices.Contains(x.ended, choice.First.ID) {
-		x.ran = append(x.ran, choice.First.ID)
+	if !slices.Contains(x.ranOn, choice.First.ID) && !slices.Contains(x.cutByDrain, choice.First.ID) {
+		x.ranOn = append(x.ranOn, choice.First.ID)
 	}
 }
 
-// check returns what is wrong with the head of an answer, or nothing.
-func check(x *exchange, response *http.Response, answer Answer) string {
+// validateHead returns what is wrong with the head of a response, or "" if it is valid.
+func validateHead(x *exchange, response *http.Response, head Answer) string {
 	switch {
-	case answer.ID != x.call.ID:
+	case head.ID != x.call.ID:
 		return "answer to another request"
 	case response.Header.Get("Content-Encoding") != "":
 		return "body is encoded"
-	case !answer.Signed:
+	case !head.Signed:
 		return "answer is not signed"
 	default:
 		return ""
 	}
 }
 
-// outgoing is the request as the backend server gets it.
-func (h *Handler) outgoing(ctx context.Context, x *exchange, choice backends.Choice) *http.Request {
+// serverRequest builds the request to the backend server.
+func (h *Handler) serverRequest(ctx context.Context, x *exchange, choice backends.Choice) *http.Request {
 	target := *x.r.URL
 	target.Scheme, target.Host, target.User = "http", choice.First.Address, nil
 	header := x.r.Header.Clone()
-	dropHopHeaders(header)
+	removeHopByHopHeaders(header)
 	if header.Get("User-Agent") == "" {
 		// Otherwise net/http would add its own.
 		header.Set("User-Agent", "")
@@ -229,7 +235,7 @@
 		attempt.After = x.after
 	}
 	if x.call.Wait > 0 {
-		attempt.Left = x.left()
+		attempt.Left = x.remaining()
 	}
 	h.Wire.Write(header, attempt)
 	request := &http.Request{
@@ -250,19 +256,19 @@
 	return x.route.Priority
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-func dropHopHeaders(header http.Header) {
-	for _, named := range header.Values("Connection") {
-		for _, name := range splitList(named) {
+func removeHopByHopHeaders(header http.Header) {
+	for _, listed := range header.Values("Connection") {
+		for _, name := range splitList(listed) {
 			header.Del(name)
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		header.Del(name)
 	}
 }
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -8,102 +8,106 @@
 	"oleandershunt.example/oleandershunt/internal/core/backends"
 )
 
-// The figures of waiting for a server.
+// Limits on waiting for a server.
 const (
-	// waitPart is the part of the target in which a request waits for a server to come
-	// where no path has all layers; after it, the answer would be late in any case.
-	waitPart = 0.5
-	// roomTargets is how many targets a stream waits for room on a path that there is, and
-	// longestRoom bounds that: callers leave a stream without an event after 2 s.
-	roomTargets = 2.5
-	longestRoom = 1500 * time.Millisecond
-	// resumeWithin is how long after its last event a broken stream may wait for another
-	// path: callers leave after 2 s of silence.
-	resumeWithin = 1900 * time.Millisecond
-	// waitStep is the time between two looks for a server at first. It doubles up to
-	// longestStep: a look costs a small VM half a millisecond with 190 servers.
-	waitStep    = 20 * time.Millisecond
-	longestStep = 80 * time.Millisecond
+	// pathWaitShare is the share of the route's latency target for which a request waits for a
+	// path while none has all layers. After a longer wait the response would be late in any
+	// case.
+	pathWaitShare = 0.5
+	// capacityWaitTargets is how many latency targets a stream waits for capacity on an
+	// existing path, and maxCapacityWait bounds that: callers disconnect after 2 s without an
+	// event.
+	capacityWaitTargets = 2.5
+	maxCapacityWait     = 1500 * time.Millisecond
+	// resumeWindow is how long after its last event a broken stream may wait for another path:
+	// callers disconnect after 2 s of silence.
+	resumeWindow = 1900 * time.Millisecond
+	// minPollInterval is the first interval between two attempts to choose a server. It doubles
+	// up to maxPollInterval: with 190 servers a choice costs a small VM half a millisecond.
+	minPollInterval = 20 * time.Millisecond
+	maxPollInterval = 80 * time.Millisecond
 )
 
-// waits is how long a request waits for a server.
-type waits struct {
-	// server is for a path with all layers, or a server of a plain service.
-	server time.Duration
-	// room is for room on a path that there is.
-	room time.Duration
+// waitLimits is how long a request may wait for a server.
+type waitLimits struct {
+	// path bounds the wait for a path with all layers, or for a server of a plain service.
+	path time.Duration
+	// capacity bounds the wait for capacity on an existing path.
+	capacity time.Duration
 }
 
-// waitsFor is how long a request may still wait. It waits once, however often it is refused:
-// its caller waits all the while, and goes to another VM when it is told so in time.
+// remainingWaits returns how long a request may still wait. The limit holds for the whole
+// request, not for each refusal: the caller is waiting all the time, and can go to another VM
+// if it is refused early enough.
 //
-// What can go wrong: servers are short of room for a second, after one of them is lost. A
-// request that is offered to full ones after a short wait uses up the repeats that all
-// have together, and is refused, though room comes back when other requests end: a late
-// answer is worth half of one in time, a refusal nothing.
-func waitsFor(x *exchange) waits {
+// What can go wrong: servers lack capacity for a second after one of them is lost. A request
+// offered to full servers after a short wait uses up the shared retry budget and is refused,
+// although capacity becomes free when other requests end. A late response is worth half of one
+// in time, a refusal nothing.
+func remainingWaits(x *exchange) waitLimits {
 	if x.events > 0 {
-		left := max(resumeWithin-time.Since(x.timing.last), 0)
-		return waits{server: left, room: left}
+		window := max(resumeWindow-time.Since(x.timing.lastEvent), 0)
+		return waitLimits{path: window, capacity: window}
 	}
 	target := float64(x.route.Target)
-	whole := min(time.Duration(roomTargets*target), longestRoom)
-	return waits{server: time.Duration(waitPart * target), room: max(whole-time.Since(x.start), 0)}
+	maxWait := min(time.Duration(capacityWaitTargets*target), maxCapacityWait)
+	return waitLimits{path: time.Duration(pathWaitShare * target), capacity: max(maxWait-time.Since(x.start), 0)}
 }
 
-// choose finds a server or path, and waits for one. Where there is a path but no room, it
-// is taken at the end of that time: the servers know better than this VM's guess.
-func (h *Handler) choose(x *exchange, wait waits) (*opened, error) {
-	begun := time.Now()
-	step := waitStep
-	request := h.request(x)
-	queue := queue{h: h, service: x.service.Name}
-	defer queue.leave()
+// choose selects a server or path and waits for one if necessary. If there is a path but no
+// capacity by the end of the wait, it takes the path regardless, as the servers know their load
+// better than this VM.
+func (h *Handler) choose(x *exchange, limits waitLimits) (*openAttempt, error) {
+	start := time.Now()
+	interval := minPollInterval
+	request := h.choiceRequest(x)
+	entry := rateQueueEntry{h: h, service: x.service.Name}
+	defer entry.release()
 	for {
 		choice, load, err := h.Dispatcher.choose(x.service, request)
-		x.deferred, x.due = "", 0
+		x.deferReason, x.retryIn = "", 0
 		if err == nil {
-			x.timing.room += time.Since(begun)
+			x.timing.capacityWait += time.Since(start)
 			ctx, cancel := context.WithCancelCause(x.ctx)
-			return &opened{choice: choice, sent: choice, load: load, ctx: ctx, cancel: cancel}, nil
+			return &openAttempt{choice: choice, sentTo: choice, load: load, ctx: ctx, cancel: cancel}, nil
 		}
-		left, late := wait.over(err)-time.Since(begun), false
+		timeLeft, tooLate := limits.limitFor(err)-time.Since(start), false
 		if deferral := backends.Deferral(nil); errors.As(err, &deferral) {
-			x.deferred = reasonFor(deferral)
-			x.due, late = queue.late(deferral, left)
+			x.deferReason = deferralReason(deferral)
+			x.retryIn, tooLate = entry.tooLate(deferral, timeLeft)
 		}
-		if late || request.Force {
+		if tooLate || request.Force {
 			x.detail = err.Error()
 			return nil, err
 		}
-		if left <= 0 {
+		if timeLeft <= 0 {
 			request.Force = true
 			continue
 		}
 		select {
-		case <-time.After(step):
+		case <-time.After(interval):
 		case <-x.ctx.Done():
 			return nil, context.Cause(x.ctx)
 		}
-		step = min(2*step, longestStep)
+		interval = min(2*interval, maxPollInterval)
 	}
 }
 
-// over is how long a request waits that was not served for a reason.
-func (w waits) over(err error) time.Duration {
+// limitFor returns how long a request waits after err, the reason why no server was chosen.
+func (w waitLimits) limitFor(err error) time.Duration {
 	if errors.Is(err, backends.ErrFull) {
-		return w.room
+		return w.capacity
 	}
 	if deferral := backends.Deferral(nil); errors.As(err, &deferral) {
-		return max(w.room, w.server)
+		return max(w.capacity, w.path)
 	}
-	return w.server
+	return w.path
 }
 
-func (h *Handler) request(x *exchange) backends.Request {
+func (h *Handler) choiceRequest(x *exchange) backends.Request {
 	request := backends.Request{DataCentre: h.DataCentre, Avoid: x.avoid, Prompt: float64(x.call.Prompt), Answer: 1}
-	if x.only != nil {
-		request.Avoid, request.Only = nil, x.only
+	if x.allowed != nil {
+		request.Avoid, request.Only = nil, x.allowed
 	}
 	if engine := x.service.Engine; engine != nil {
 		request.Answer = float64(engine.Answer)
--- a/internal/relay/decisions_test.go
+++ b/internal/relay/decisions_test.go
@@ -20,8 +20,8 @@
 
 const module = "oleandershunt.example/oleandershunt/"
 
-// decodedTypes are what servers, the operator and the settings say, by package, after it was
-// translated.
+// decodedTypes lists by package the types that hold decoded messages of servers, the operator
+// and the settings.
 var decodedTypes = map[string][]string{
 	"internal/relay":             {"Answer", "Report"},
 	"internal/core/backpressure": {"Signals"},
@@ -30,13 +30,13 @@
 	"internal/edge":              {"Settings"},
 }
 
-// decidingPackages are those that decide what is done about it.
+// decidingPackages are the packages that act on them.
 var decidingPackages = []string{
 	"internal/relay", "internal/edge", "internal/core/backpressure", "internal/core/backends", "internal/core/spread", "internal/core/routes",
 }
 
-// Guards against: a word of the platform is decoded and nothing is done about it.
-func TestEachDecodedWordHasADecision(t *testing.T) {
+// Guards against a field of the platform's protocol that is decoded and then ignored.
+func TestEachDecodedFieldIsRead(t *testing.T) {
 	g := NewWithT(t)
 	source := newSource(t)
 	declared, read := make(map[string]string), make(map[string]bool)
@@ -62,10 +62,10 @@
 			unread = append(unread, field)
 		}
 	}
-	g.Expect(unread).To(BeEmpty(), "no decision reads them")
+	g.Expect(unread).To(BeEmpty(), "decoded fields that no code reads")
 }
 
-// source checks the types of packages, with those that they import as they were built.
+// source type-checks packages against the export data of their imports.
 type source struct {
 	set      *token.FileSet
 	importer types.Importer
@@ -92,7 +92,7 @@
 	return &source{set: set, importer: importer.ForCompiler(set, "gc", open)}
 }
 
-// check returns the files of a package, tests left out, with the types in them.
+// check returns the files of a package, without tests, with their type information.
 func (s *source) check(g *WithT, path string) ([]*ast.File, *types.Info) {
 	names, err := filepath.Glob("../../" + path + "/*.go")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -111,13 +111,13 @@
 	return files, info
 }
 
-// key names a field the same from whatever package it is seen.
+// key identifies a field independent of the package that refers to it.
 func (s *source) key(at token.Pos, name string) string {
 	position := s.set.Position(at)
 	return fmt.Sprintf("%s:%d %s", filepath.Base(position.Filename), position.Line, name)
 }
 
-// fieldsOf lists the fields of a struct.
+// fieldsOf returns the fields of a struct.
 func fieldsOf(files []*ast.File, name string) []*ast.Ident {
 	var fields []*ast.Ident
 	for _, file := range files {
@@ -133,7 +133,7 @@
 	return fields
 }
 
-// readSelectors are the selectors of a file that aren't assigned to.
+// readSelectors returns the selectors of a file that aren't assigned to.
 func readSelectors(file *ast.File) map[*ast.SelectorExpr]bool {
 	read := make(map[*ast.SelectorExpr]bool)
 	ast.Inspect(file, func(node ast.Node) bool {
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -14,7 +14,7 @@
 	"oleandershunt.example/oleandershunt/internal/core/tally"
 )
 
-// Dispatcher is the decisions of this VM on its requests, one at a time. It is
+// Dispatcher holds the routing state of this VM and serialises its routing decisions. It is
 // safe for concurrent use.
 type Dispatcher struct {
 	now func() time.Duration
@@ -23,20 +23,21 @@
 	fleet  *backends.Fleet
 	budget *budget.Budget
 	table  *routes.Table
-	// configured is closed when the first configuration is in force.
+	// configured is closed when the first configuration is applied.
 	configured chan struct{}
-	// queued counts the requests that wait for a server's request rate, by service.
+	// queued counts the requests waiting for a server's request rate, by service.
 	queued map[string]int
 }
 
-// NewDispatcher makes a dispatcher that knows nothing yet. now is the time since
-// the start of the VM, suspension included.
-func NewDispatcher(now func() time.Duration, retries *budget.Budget) *Dispatcher {
-	return &Dispatcher{now: now, fleet: backends.New(), budget: retries, configured: make(chan struct{}), queued: make(map[string]int)}
+// NewDispatcher returns a dispatcher without configuration or servers. now is the time since
+// the start of the VM, including time suspended.
+func NewDispatcher(now func() time.Duration, retryBudget *budget.Budget) *Dispatcher {
+	return &Dispatcher{now: now, fleet: backends.New(), budget: retryBudget, configured: make(chan struct{}), queued: make(map[string]int)}
 }
 
-// SetTable brings a newer configuration in force. An older one is ignored, so
-// that a late answer of the platform can't take the VM back.
+// SetTable applies a configuration and returns whether it did. A table whose version isn't
+// newer than the current one is ignored, so a delayed response of the platform can't roll the
+// VM back.
 func (d *Dispatcher) SetTable(table *routes.Table) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -51,16 +52,16 @@
 	return true
 }
 
-// Table is the configuration in force; nil before the first.
+// Table returns the configuration in force, or nil before the first one.
 func (d *Dispatcher) Table() *routes.Table {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.table
 }
 
-// FirstTable is the configuration in force; before the first one it waits for that, so
-// long, or until ctx ends. Nil when there is none then.
-func (d *Dispatcher) FirstTable(ctx context.Context, wait time.Duration) *routes.Table {
+// WaitTable returns the configuration in force. Before the first one it blocks until that is
+// applied, wait has passed or ctx ends; it returns nil if there is still none.
+func (d *Dispatcher) WaitTable(ctx context.Context, wait time.Duration) *routes.Table {
 	if table := d.Table(); table != nil {
 		return table
 	}
@@ -74,18 +75,18 @@
 	return d.Table()
 }
 
-// Fleet lets a function look at the servers or change what is known of them.
+// Fleet calls use with the current time and the fleet while holding the lock.
 func (d *Dispatcher) Fleet(use func(now time.Duration, fleet *backends.Fleet)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	use(d.now(), d.fleet)
 }
 
-// choose picks a server or path and counts the request on it.
+// choose selects a server or path and adds the request to its load.
 func (d *Dispatcher) choose(service routes.Service, request backends.Request) (backends.Choice, backends.Load, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	choice, err := d.pick(service, request)
+	choice, err := d.pickLocked(service, request)
 	if err != nil {
 		return choice, backends.Load{}, err
 	}
@@ -95,68 +96,69 @@
 	return choice, load, nil
 }
 
-// look picks a server or path without counting anything on it.
-func (d *Dispatcher) look(service routes.Service, request backends.Request) (backends.Choice, error) {
+// preview selects a server or path without changing any load.
+func (d *Dispatcher) preview(service routes.Service, request backends.Request) (backends.Choice, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.pick(service, request)
+	return d.pickLocked(service, request)
 }
 
-// pick must be called with the lock held.
-func (d *Dispatcher) pick(service routes.Service, request backends.Request) (backends.Choice, error) {
+// pickLocked must be called with the lock held.
+func (d *Dispatcher) pickLocked(service routes.Service, request backends.Request) (backends.Choice, error) {
 	if service.Engine != nil {
 		return d.fleet.Path(d.now(), service, request)
 	}
 	return d.fleet.Instance(d.now(), service.Name, request)
 }
 
-// wanted tells whether the servers of a choice still want a request.
-func (d *Dispatcher) wanted(choice backends.Choice) bool {
+// stillAccepts reports whether the servers of a choice still accept a request.
+func (d *Dispatcher) stillAccepts(choice backends.Choice) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.fleet.Wanted(d.now(), choice)
 }
 
-// took notes that the servers of an attempt run it, if so.
-func (d *Dispatcher) took(o *opened, answer Answer) {
-	if answer.NotRun {
+// recordExecution records that the servers of an attempt run it, unless the response says
+// otherwise.
+func (d *Dispatcher) recordExecution(o *openAttempt, head Answer) {
+	if head.NotRun {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fleet.Took(d.now(), o.begun, o.sent)
+	d.fleet.Took(d.now(), o.sentAt, o.sentTo)
 }
 
-// moved takes a request's load over to its new path.
-func (d *Dispatcher) moved(old, load backends.Load) {
+// moveLoad replaces a request's load by that on its new path.
+func (d *Dispatcher) moveLoad(old, load backends.Load) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fleet.End(old)
 	d.fleet.Begin(load)
 }
 
-func (d *Dispatcher) done(load backends.Load) {
+func (d *Dispatcher) releaseLoad(load backends.Load) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fleet.End(load)
 }
 
-// arrived counts a request for the budget of repeats.
-func (d *Dispatcher) arrived(service string) {
+// countRequest counts a request for the retry budget.
+func (d *Dispatcher) countRequest(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.budget.Request(d.now(), service)
 }
 
-// mayRepeat takes one repeat from the budget. part is how much of the budget may
-// be used up for this kind of repeat.
-func (d *Dispatcher) mayRepeat(service string, part float64) bool {
+// takeRetry takes one retry from the budget if allowed. share is the part of the budget that
+// this kind of retry may use up.
+func (d *Dispatcher) takeRetry(service string, share float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.budget.Repeat(d.now(), service, part)
+	return d.budget.Repeat(d.now(), service, share)
 }
 
-// Live takes how many VMs there are, this one included.
+// Live sets the number of live VMs, including this one.
 func (d *Dispatcher) Live(vms int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -164,21 +166,22 @@
 	d.fleet.Live(vms)
 }
 
-// Repeats are this VM's counts of requests and repeats, for the other VMs.
+// Repeats returns this VM's counts of requests and retries, to be shared with the other VMs.
 func (d *Dispatcher) Repeats() map[string]budget.Count {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.budget.Counts(d.now())
 }
 
-// Begun tells whether requests came in the window of the budget, to this VM or another one.
+// Begun reports whether this or another VM received requests within the window of the retry
+// budget.
 func (d *Dispatcher) Begun() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.budget.Begun(d.now())
 }
 
-// HeardOthers takes what all other VMs have.
+// HeardOthers applies the sum of the other VMs' counts, loads, full servers and rates.
 func (d *Dispatcher) HeardOthers(others tally.Tally) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,16 +191,16 @@
 	d.fleet.HeardRates(d.now(), others.Rates)
 }
 
-// Members takes this VM and all that live, which share servers' request rates.
+// Members sets this VM and all live VMs, which share the servers' request rates.
 func (d *Dispatcher) Members(self string, vms []lease.VM) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fleet.Members(d.now(), self, vms)
 }
 
-// queue counts a request that waits for a server's request rate, until leave is called, and
-// returns how many wait before it.
-func (d *Dispatcher) queue(service string) (ahead int, leave func()) {
+// joinRateQueue counts a request as waiting for a server's request rate until leave is called.
+// ahead is the number of requests that were waiting before it.
+func (d *Dispatcher) joinRateQueue(service string) (ahead int, leave func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	ahead = d.queued[service]
@@ -209,42 +212,42 @@
 	}
 }
 
-// Unreached takes the data centres that can't be reached now.
+// Unreached sets the data centres that are currently unreachable.
 func (d *Dispatcher) Unreached(dataCentres []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fleet.Unreached(d.now(), dataCentres)
 }
 
-// suspect keeps new requests off a server for a time.
+// suspect keeps new requests off a server for span.
 func (d *Dispatcher) suspect(id string, span time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fleet.Suspect(d.now(), id, span)
 }
 
-// lost keeps new requests off a server that doesn't answer. sure says that another
-// server found so.
-func (d *Dispatcher) lost(id string, sure bool) {
+// markUnresponsive keeps new requests off a server that doesn't respond. confirmed says that
+// another server found it unresponsive.
+func (d *Dispatcher) markUnresponsive(id string, confirmed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fleet.Suspect(d.now(), id, suspectDark)
-	if sure {
-		d.fleet.Dark(d.now(), id, suspectDark)
+	d.fleet.Suspect(d.now(), id, suspectUnresponsive)
+	if confirmed {
+		d.fleet.Dark(d.now(), id, suspectUnresponsive)
 	}
 }
 
-// paceDue tells whether a server may be asked for its pace: it was learnt some time ago, and the
-// server wants requests.
-func (d *Dispatcher) paceDue(id string) bool {
+// paceReportDue reports whether a server's report may be fetched for its pace: the known pace
+// is stale and the server hasn't asked for a pause.
+func (d *Dispatcher) paceReportDue(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fleet.PaceAge(d.now(), id) >= paceAge && !d.fleet.Paused(d.now(), id)
+	return d.fleet.PaceAge(d.now(), id) >= maxPaceReportAge && !d.fleet.Paused(d.now(), id)
 }
 
-// slowest is the pace of the slowest server of a path, as far as it is known; 1 for
-// none.
-func (d *Dispatcher) slowest(path chain.Path) float64 {
+// maxPace returns the highest known pace (slowdown factor) of the servers on a path, and at
+// least 1.
+func (d *Dispatcher) maxPace(path chain.Path) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	pace := 1.0
@@ -254,30 +257,30 @@
 	return pace
 }
 
-// slowDue lists the servers that were slow and are to be asked again.
-func (d *Dispatcher) slowDue() []backends.Server {
+// slowServersDue lists the servers that were slow and whose pace is stale.
+func (d *Dispatcher) slowServersDue() []backends.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fleet.Slow(d.now(), paceAge)
+	return d.fleet.Slow(d.now(), maxPaceReportAge)
 }
 
-// full notes that a server had no room.
-func (d *Dispatcher) full(id string) {
+// markFull records that a server had no capacity.
+func (d *Dispatcher) markFull(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fleet.Full(d.now(), id)
 }
 
-// leaving tells whether a server is to get nothing new.
-func (d *Dispatcher) leaving(id string) bool {
+// draining reports whether a server is draining and gets no new requests.
+func (d *Dispatcher) draining(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	server, ok := d.fleet.Known(id)
 	return ok && server.Draining
 }
 
-// gone tells whether a server's entry is not there any more.
-func (d *Dispatcher) gone(id string) bool {
+// removed reports whether a server is no longer known.
+func (d *Dispatcher) removed(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_, ok := d.fleet.Known(id)
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -6,73 +6,75 @@
 	"strconv"
 )
 
-// events cuts a stream of server-sent events at their ends and follows their IDs.
-type events struct {
-	// rest is the beginning of an event whose end hasn't come.
-	rest []byte
-	// last is the ID of the last whole event, and number its value.
-	last   string
-	number int64
-	// passed is how many events the last call returned.
-	passed int
+// eventSplitter splits a stream of server-sent events into complete events and checks the order
+// of their IDs.
+type eventSplitter struct {
+	// pending holds the beginning of an event whose end hasn't arrived.
+	pending []byte
+	// last is the ID of the last complete event, and lastNumber its numeric value; -1 if it has
+	// none.
+	last       string
+	lastNumber int64
+	// returned is the number of events returned by the last call of feed.
+	returned int
 }
 
-// maxEvent bounds one event.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the size of one event.
+const maxEventBytes = 1 << 20
 
-func newEvents(after string) *events {
-	e := &events{last: after, number: -1}
+func newEventSplitter(after string) *eventSplitter {
+	e := &eventSplitter{last: after, lastNumber: -1}
 	if number, err := strconv.ParseInt(after, 10, 64); err == nil {
-		e.number = number
+		e.lastNumber = number
 	}
 	return e
 }
 
-func (e *events) partial() bool { return len(bytes.TrimSpace(e.rest)) > 0 }
+func (e *eventSplitter) hasPartial() bool { return len(bytes.TrimSpace(e.pending)) > 0 }
 
-// take adds bytes and returns the events that are whole. An event whose number
-// is not above the last one's is an error: passed on, it would come twice or
-// join two runs. The result is valid until the next call.
-func (e *events) take(data []byte) ([]byte, error) {
-	e.passed = 0
-	e.rest = append(e.rest, data...)
+// feed adds bytes and returns the events that are complete. It returns an error for an event
+// whose number isn't the one after the last: the caller would get an event twice or miss one,
+// or parts of two runs would be joined. The result is valid until the next call.
+func (e *eventSplitter) feed(data []byte) ([]byte, error) {
+	e.returned = 0
+	e.pending = append(e.pending, data...)
 	end := 0
 	for {
-		length := eventEnd(e.rest[end:])
+		length := eventLength(e.pending[end:])
 		if length == 0 {
 			break
 		}
-		if err := e.note(e.rest[end : end+length]); err != nil {
+		if err := e.trackIDs(e.pending[end : end+length]); err != nil {
 			return nil, err
 		}
 		end += length
 	}
-	if len(e.rest)-end > maxEvent {
-		return nil, fmt.Errorf("event of more than %d bytes", maxEvent)
+	if len(e.pending)-end > maxEventBytes {
+		return nil, fmt.Errorf("event of more than %d bytes", maxEventBytes)
 	}
-	whole := append([]byte(nil), e.rest[:end]...)
-	e.rest = append(e.rest[:0], e.rest[end:]...)
-	return whole, nil
+	complete := append([]byte(nil), e.pending[:end]...)
+	e.pending = append(e.pending[:0], e.pending[end:]...)
+	return complete, nil
 }
 
-// eventEnd is the length of the first whole event, its blank line included. 0
-// when there is none.
-func eventEnd(data []byte) int {
-	at := 0
+// eventLength returns the length of the first complete event including its blank line, or 0 if
+// there is none.
+func eventLength(data []byte) int {
+	offset := 0
 	for {
-		newline := bytes.IndexByte(data[at:], '\n')
+		newline := bytes.IndexByte(data[offset:], '\n')
 		if newline < 0 {
 			return 0
 		}
-		line := data[at : at+newline]
-		at += newline + 1
+		line := data[offset : offset+newline]
+		offset += newline + 1
 		if len(bytes.TrimSuffix(line, []byte("\r"))) == 0 {
-			return at
+			return offset
 		}
 	}
 }
 
-func (e *events) note(event []byte) error {
+func (e *eventSplitter) trackIDs(event []byte) error {
 	for line := range bytes.Lines(event) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
 		if !ok {
@@ -80,17 +82,17 @@
 		}
 		id := string(bytes.TrimSpace(value))
 		number, err := strconv.ParseInt(id, 10, 64)
-		if err == nil && number <= e.number {
-			return fmt.Errorf("event %d after event %d", number, e.number)
+		if err == nil && number <= e.lastNumber {
+			return fmt.Errorf("event %d after event %d", number, e.lastNumber)
 		}
-		if err == nil && e.number >= 0 && number != e.number+1 {
-			return fmt.Errorf("event %d is missing before %d", e.number+1, number)
+		if err == nil && e.lastNumber >= 0 && number != e.lastNumber+1 {
+			return fmt.Errorf("event %d is missing before %d", e.lastNumber+1, number)
 		}
 		if err == nil {
-			e.number = number
+			e.lastNumber = number
 		}
 		e.last = id
-		e.passed++
+		e.returned++
 	}
 	return nil
 }
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -22,81 +22,82 @@
 	"oleandershunt.example/oleandershunt/internal/wire"
 )
 
-// The figures of the handler.
+// Limits and defaults of the handler.
 const (
-	// connectTimeout bounds a connect to a backend server. The way there takes a
-	// millisecond; one that is cut off or without power doesn't answer at all.
+	// connectTimeout bounds a connect to a backend server. The network round trip takes a
+	// millisecond; a partitioned or powered-off server doesn't respond at all.
 	connectTimeout = 400 * time.Millisecond
-	// idlePerServer is the connections kept to each server.
-	idlePerServer = 8
-	// bodiesAtOnce bounds the bytes of bodies held, so that large ones sent
-	// together don't take the VM's memory.
-	bodiesAtOnce = 64 << 20
-	// defaultBody bounds a body where the configuration says nothing.
-	defaultBody = 4 << 20
-	// comeBack is when a request that found no server may try again: the time in
-	// which a lost server's layers are usually found elsewhere.
-	comeBack = 500 * time.Millisecond
-	// comeBackUnproven is the same where the configuration isn't proven new: the
-	// time between two reads of it.
-	comeBackUnproven = time.Second
-	// firstConfig is how long a request waits for the first configuration of a VM that has
-	// just started, and firstConfigPart bounds that by the time that its caller has. VMs
-	// that all start at once have it within half of that.
-	firstConfig     = 500 * time.Millisecond
-	firstConfigPart = 0.5
+	// idleConnsPerServer is the number of idle connections kept to each server.
+	idleConnsPerServer = 8
+	// maxBufferedBodyBytes bounds the bytes of all request bodies in memory, so that many large
+	// requests at once don't exhaust the VM's memory.
+	maxBufferedBodyBytes = 64 << 20
+	// defaultMaxBodyBytes bounds a body if the configuration sets no limit.
+	defaultMaxBodyBytes = 4 << 20
+	// retryAfterDefault is the Retry-After of a request for which no server was found: the time
+	// within which a lost server's layers are usually available elsewhere.
+	retryAfterDefault = 500 * time.Millisecond
+	// retryAfterUnproven is the Retry-After where the configuration isn't proven to be the
+	// newest: the interval at which it is read.
+	retryAfterUnproven = time.Second
+	// maxConfigWait is how long a request waits for the first configuration of a VM that has
+	// just started, and configWaitShare bounds that by a share of the caller's timeout. VMs
+	// that all start at once have their configuration within half of maxConfigWait.
+	maxConfigWait   = 500 * time.Millisecond
+	configWaitShare = 0.5
 )
 
-// Options are what a handler needs.
+// Options configure a Handler.
 type Options struct {
 	Log        logr.Logger
 	Wire       Wire
 	Engines    Engines
 	Dispatcher *Dispatcher
-	// Proven tells whether the configuration in force was the newest recently
+	// Proven reports whether the configuration in force was confirmed as the newest recently
 	// enough to trust its keys.
 	Proven func() bool
-	// DataCentre is where the VM stands.
+	// DataCentre is the data centre of the VM.
 	DataCentre string
-	// Found, when set, is told of a server that another one waits for in vain.
+	// Found, if set, is called with the ID of a server that another server waits for without a
+	// response.
 	Found func(id string)
-	// Patience bounds the silence of a stream after which its path is looked into.
+	// Patience is how long a stream may be silent before the handler checks its path.
 	Patience time.Duration
 }
 
-// Handler serves callers.
+// Handler serves callers' requests.
 type Handler struct {
 	Options
 	pooled, fresh http.RoundTripper
-	bodies        atomic.Int64
+	bodyBytes     atomic.Int64
 	inFlight      atomic.Int64
-	watches       watches
-	reports       *reports
-	suspects      *suspects
-	// lateLines bounds the lines on late answers.
-	lateLines *rate.Limiter
-	signals   *Signals
+	watchdogs     watchdogSet
+	reports       *reportCache
+	suspects      *poisonSuspects
+	// lateLogLimiter limits the log lines on late responses.
+	lateLogLimiter *rate.Limiter
+	signals        *Signals
 }
 
-// New makes a handler.
+// New returns a handler.
 func New(options Options) *Handler {
-	pooled, fresh := wire.Transports(connectTimeout, nil, idlePerServer)
+	pooled, fresh := wire.Transports(connectTimeout, nil, idleConnsPerServer)
 	return &Handler{
-		Options:   options,
-		pooled:    pooled,
-		fresh:     fresh,
-		reports:   newReports(options.Engines),
-		suspects:  newSuspects(),
-		watches:   watches{all: make(map[*watchdog]struct{})},
-		lateLines: rate.NewLimiter(latePerSecond, lateBurst),
-		signals:   NewSignals(options.Log, options.Dispatcher),
+		Options:        options,
+		pooled:         pooled,
+		fresh:          fresh,
+		reports:        newReportCache(options.Engines),
+		suspects:       newPoisonSuspects(),
+		watchdogs:      watchdogSet{members: make(map[*watchdog]struct{})},
+		lateLogLimiter: rate.NewLimiter(lateLogsPerSecond, lateLogBurst),
+		signals:        NewSignals(options.Log, options.Dispatcher),
 	}
 }
 
-// InFlight is the number of requests that are being served.
+// InFlight returns the number of requests being served.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
-// exchange is one request on its way.
+// exchange is the state of one request.
 type exchange struct {
 	w       http.ResponseWriter
 	r       *http.Request
@@ -106,32 +107,31 @@
 	service routes.Service
 	account routes.Account
 	body    []byte
-	// poison names what the request asks, to recognise one that crashes servers.
+	// poison identifies the content of the request, to recognise one that crashes servers.
 	poison poison.Body
 	start  time.Time
 	// avoid lists the servers that failed the request.
 	avoid []string
-	// ran lists the servers that ran it or may have, but for those in ended: servers that broke
-	// it off while they left.
-	ran, ended []string
-	// only, when set, lists the servers that the next attempt may take.
-	only []string
-	// sends counts the attempts that reached a server, and refusals those that it
-	// said not to have run.
+	// ranOn lists the servers that ran the request or may have. Those that broke it off while
+	// leaving are in cutByDrain instead.
+	ranOn, cutByDrain []string
+	// allowed, if set, lists the only servers that the next attempt may use.
+	allowed []string
+	// sends counts the attempts sent to a server, and refusals those reported as not run.
 	sends, refusals int
-	// reserved says that the next attempt's repeat was taken from the budget already.
-	reserved bool
-	// mayHaveRun says that a server may have begun.
+	// retryReserved says that the next attempt's retry was already taken from the budget.
+	retryReserved bool
+	// mayHaveRun says that a server may have begun to run the request.
 	mayHaveRun bool
-	// detail says why no server was found, for the line of the refusal.
+	// detail is the reason why no server was found, for the log line of the refusal.
 	detail string
-	// deferred is why no server was found where those that could take the request want none
-	// of this VM yet; empty for other causes. due is in what time one may take it, 0 where
-	// that isn't known.
-	deferred Reason
-	due      time.Duration
-	timing   timing
-	// events counts the events delivered; after is the ID of the last one.
+	// deferReason is set if no server was found because all those that could take the request
+	// are paused or rate-limited for this VM. retryIn is the time until one accepts it, 0 if
+	// unknown.
+	deferReason Reason
+	retryIn     time.Duration
+	timing      deliveryTiming
+	// events counts the delivered events; after is the ID of the last one.
 	events int
 	after  string
 }
@@ -143,43 +143,43 @@
 	x := &exchange{w: w, r: r, start: time.Now(), call: h.Wire.Read(r)}
 	refused := h.admit(x)
 	if refused == nil {
-		refused = h.read(x)
+		refused = h.readBody(x)
 	}
 	if refused != nil {
 		h.refuse(x, refused)
 		return
 	}
-	defer h.bodies.Add(-int64(len(x.body)))
-	if x.poison = bodyOf(x); !h.suspects.begin(x.poison) {
-		h.refuse(x, poisoned())
+	defer h.bodyBytes.Add(-int64(len(x.body)))
+	if x.poison = poisonBody(x); !h.suspects.begin(x.poison) {
+		h.refuse(x, poisonRefusal())
 		return
 	}
 	defer h.suspects.end(x.poison)
-	limit := x.limit()
+	limit := x.timeLimit()
 	if limit < 0 {
-		h.refuse(x, notRun(ReasonDeadlineSpent, comeBack))
+		h.refuse(x, notRunRefusal(ReasonDeadlineSpent, retryAfterDefault))
 		return
 	}
 	ctx, cancel := context.WithTimeoutCause(r.Context(), limit, errDeadline)
 	defer cancel()
 	x.ctx = ctx
-	h.Dispatcher.arrived(x.service.Name)
+	h.Dispatcher.countRequest(x.service.Name)
 	if x.route.Stream {
-		h.stream(x)
+		h.serveStream(x)
 	} else {
-		h.plain(x)
+		h.servePlain(x)
 	}
 }
 
-// errDeadline is why a request ends whose time is over.
+// errDeadline is the cancellation cause of a request whose time limit has passed.
 var errDeadline = errors.New("request's time is over")
 
-// unlimited stands for a request without any limit.
-const unlimited = time.Hour
+// defaultTimeLimit bounds a request without a limit of its own.
+const defaultTimeLimit = time.Hour
 
-// limit is how long the request may go on.
-func (x *exchange) limit() time.Duration {
-	limit := unlimited
+// timeLimit returns the remaining time of the request, counted from its arrival.
+func (x *exchange) timeLimit() time.Duration {
+	limit := defaultTimeLimit
 	if x.route.Timeout > 0 {
 		limit = x.route.Timeout
 	}
@@ -189,47 +189,47 @@
 	return limit - time.Since(x.start)
 }
 
-// waitsForConfig is how long the request waits for the first configuration.
-func (x *exchange) waitsForConfig() time.Duration {
+// configWait returns how long the request waits for the first configuration.
+func (x *exchange) configWait() time.Duration {
 	if x.call.Wait <= 0 {
-		return firstConfig
+		return maxConfigWait
 	}
-	return min(firstConfig, time.Duration(firstConfigPart*float64(x.call.Wait)))
+	return min(maxConfigWait, time.Duration(configWaitShare*float64(x.call.Wait)))
 }
 
-// left is how long the caller or the route still waits.
-func (x *exchange) left() time.Duration {
+// remaining returns the time until the deadline of the caller or the route.
+func (x *exchange) remaining() time.Duration {
 	deadline, _ := x.ctx.Deadline()
 	return time.Until(deadline)
 }
 
-// admit finds the request's route, account and service.
+// admit looks up the request's route, account and service.
 func (h *Handler) admit(x *exchange) *refusal {
-	table := h.Dispatcher.FirstTable(x.r.Context(), x.waitsForConfig())
+	table := h.Dispatcher.WaitTable(x.r.Context(), x.configWait())
 	if table == nil {
-		return notRun(ReasonNoConfig, comeBackUnproven)
+		return notRunRefusal(ReasonNoConfig, retryAfterUnproven)
 	}
 	proven := h.Proven()
 	route, ok := table.Match(hostOf(x.r.Host), x.r.URL.Path)
 	if !ok {
 		if !proven {
-			return notRun(ReasonStale, comeBackUnproven)
+			return notRunRefusal(ReasonStale, retryAfterUnproven)
 		}
-		return rejected(http.StatusNotFound, ReasonNoRoute)
+		return rejection(http.StatusNotFound, ReasonNoRoute)
 	}
 	x.route = route
 	if table.NeedsKey(route) {
-		// A key that was taken away must not open anything, so a VM which can't
-		// know of that refuses.
+		// A revoked key must not be accepted, so a VM that can't know of the revocation
+		// refuses.
 		if !proven {
-			return notRun(ReasonStale, comeBackUnproven)
+			return notRunRefusal(ReasonStale, retryAfterUnproven)
 		}
 		if x.account, ok = table.Account(x.call.Key); !ok {
-			return rejected(http.StatusUnauthorized, ReasonUnknownKey)
+			return rejection(http.StatusUnauthorized, ReasonUnknownKey)
 		}
 	}
 	if x.service, ok = table.Service(route.Pick(rand.Float64())); !ok {
-		return notRun(ReasonNoService, comeBackUnproven)
+		return notRunRefusal(ReasonNoService, retryAfterUnproven)
 	}
 	return nil
 }
@@ -241,70 +241,70 @@
 	return host
 }
 
-// read takes the request's body in. It is needed whole: an attempt that fails
-// before a server ran it is made again elsewhere.
-func (h *Handler) read(x *exchange) *refusal {
-	limit := int64(defaultBody)
+// readBody reads the request's body into memory. The whole body is needed because an attempt
+// that fails before a server ran it is retried on another server.
+func (h *Handler) readBody(x *exchange) *refusal {
+	limit := int64(defaultMaxBodyBytes)
 	if table := h.Dispatcher.Table(); table.Limits.BodyBytes > 0 {
 		limit = table.Limits.BodyBytes
 	}
 	if x.r.ContentLength > limit {
-		return rejected(http.StatusRequestEntityTooLarge, ReasonBodyTooLarge)
+		return rejection(http.StatusRequestEntityTooLarge, ReasonBodyTooLarge)
 	}
-	if h.bodies.Load()+max(x.r.ContentLength, 0) > bodiesAtOnce {
-		return notRun(ReasonBusy, comeBack)
+	if h.bodyBytes.Load()+max(x.r.ContentLength, 0) > maxBufferedBodyBytes {
+		return notRunRefusal(ReasonBusy, retryAfterDefault)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, limit))
 	if tooLarge := new(http.MaxBytesError); errors.As(err, &tooLarge) {
-		return rejected(http.StatusRequestEntityTooLarge, ReasonBodyTooLarge)
+		return rejection(http.StatusRequestEntityTooLarge, ReasonBodyTooLarge)
 	}
 	if err != nil {
-		return rejected(http.StatusBadRequest, ReasonBodyUnread)
+		return rejection(http.StatusBadRequest, ReasonBodyUnread)
 	}
-	h.bodies.Add(int64(len(body)))
+	h.bodyBytes.Add(int64(len(body)))
 	x.body = body
 	return nil
 }
 
-// left notes that the caller went before the answer's end, if so. What was being
-// done for it has ended with its connection.
-func (h *Handler) left(x *exchange, cause error) bool {
+// callerLeft reports, counts and logs whether the caller disconnected before the end of the
+// response. Its attempts end with its connection.
+func (h *Handler) callerLeft(x *exchange, cause error) bool {
 	if x.r.Context().Err() == nil {
 		return false
 	}
 	metrics.GetOrCreateCounter("oleandershunt_relay_left_total").Inc()
-	telemetry.RelayLeft.Log(h.Log, append(x.fields(), "after", x.after, "cause", telemetry.Cause(cause))...)
+	telemetry.RelayLeft.Log(h.Log, append(x.logFields(), "after", x.after, "cause", telemetry.Cause(cause))...)
 	return true
 }
 
-// refuse answers a request that nothing was answered to so far.
+// refuse sends a refusal as the response. Nothing must have been sent before.
 func (h *Handler) refuse(x *exchange, r *refusal) {
-	// Written in any case: a handler that returns without a word would answer 200.
+	// Written in any case: a handler that returns without writing would respond with 200.
 	r.write(x.w)
-	if h.left(x, context.Cause(x.r.Context())) {
+	if h.callerLeft(x, context.Cause(x.r.Context())) {
 		return
 	}
 	metrics.GetOrCreateCounter(fmt.Sprintf("oleandershunt_relay_refused_total{reason=%q}", r.reason)).Inc()
-	telemetry.RelayRefused.Log(h.Log, append(x.fields(), "reason", r.reason, "execution", r.execution, "status", r.status, "detail", x.detail)...)
+	telemetry.RelayRefused.Log(h.Log, append(x.logFields(), "reason", r.reason, "execution", r.execution, "status", r.status, "detail", x.detail)...)
 }
 
-// fields are what each line about a request has.
-func (x *exchange) fields() []any {
+// logFields returns the fields of each log line about a request.
+func (x *exchange) logFields() []any {
 	return []any{
 		"request", x.call.ID, "route", x.route.Name, "service", x.service.Name, "account", x.account.Name,
 		"ms", time.Since(x.start).Milliseconds(), "sends", x.sends, "events", x.events, "avoid", strings.Join(x.avoid, " "),
 	}
 }
 
-// ended notes an answer that was passed on whole.
-func (h *Handler) ended(x *exchange, o *opened, status int) {
-	h.noteLate(x, o)
+// recordCompleted records a response that was forwarded completely.
+func (h *Handler) recordCompleted(x *exchange, o *openAttempt, status int) {
+	h.logLate(x, o)
 	if status < http.StatusInternalServerError {
-		h.suspects.acquit(x.poison)
+		h.suspects.clear(x.poison)
 	}
 	metrics.GetOrCreateCounter(fmt.Sprintf("oleandershunt_relay_answered_total{status=\"%d\"}", status)).Inc()
 	metrics.GetOrCreateHistogram("oleandershunt_relay_seconds").UpdateDuration(x.start)
 	if x.sends > 1 || status >= http.StatusInternalServerError {
-		telemetry.RelayAnswered.Log(h.Log, append(x.fields(), "status", status)...)
+		telemetry.RelayAnswered.Log(h.Log, append(x.logFields(), "status", status)...)
 	}
 }
--- a/internal/relay/late.go
+++ b/internal/relay/late.go
@@ -11,92 +11,93 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// The bounds of lines on late answers: a VM has some requests a second, and in bad times
-// most are late.
+// Limits of log lines on late responses: a VM serves some requests a second, and under overload
+// most responses are late.
 const (
-	latePerSecond = 5
-	lateBurst     = 20
+	lateLogsPerSecond = 5
+	lateLogBurst      = 20
 )
 
-// timing is where an answer's time went, as far as this VM sees it.
-type timing struct {
-	// room is how long the request waited for a server with room.
-	room time.Duration
-	// first is when the first event, or the whole answer, was passed on after the
-	// request's arrival, and last when the newest event was.
-	first time.Duration
-	last  time.Time
-	// gap is the longest pause between two events.
-	gap time.Duration
-	// write is the longest time that the caller's side took an event.
-	write time.Duration
+// deliveryTiming records where the time of a response was spent, as far as this VM can tell.
+type deliveryTiming struct {
+	// capacityWait is how long the request waited for a server with capacity.
+	capacityWait time.Duration
+	// firstEvent is the time from the request's arrival until the first event, or the whole
+	// response, was forwarded; lastEvent is when the latest event was.
+	firstEvent time.Duration
+	lastEvent  time.Time
+	// longestGap is the longest time between two events.
+	longestGap time.Duration
+	// longestWrite is the longest time that writing events to the caller took.
+	longestWrite time.Duration
 	// moves counts the moves to another path.
 	moves atomic.Int32
 }
 
-// passed notes that events were passed on, which took the caller's side so long.
-func (t *timing) passed(start time.Time, write time.Duration) {
+// recordDelivery records that events were forwarded; write is how long writing them to the
+// caller took.
+func (t *deliveryTiming) recordDelivery(start time.Time, write time.Duration) {
 	now := time.Now()
-	if t.last.IsZero() {
-		t.first = now.Sub(start)
+	if t.lastEvent.IsZero() {
+		t.firstEvent = now.Sub(start)
 	} else {
-		t.gap = max(t.gap, now.Sub(t.last))
+		t.longestGap = max(t.longestGap, now.Sub(t.lastEvent))
 	}
-	t.last = now
-	t.write = max(t.write, write)
+	t.lastEvent = now
+	t.longestWrite = max(t.longestWrite, write)
 }
 
-// The causes of late answers.
+// Causes of late responses.
 const (
-	lateRoom   = "room"   // it waited for a server with room
-	lateSlot   = "slot"   // its first server had no slot free when it was sent
-	lateCaller = "caller" // the caller's side took events slowly
-	lateRepeat = "repeat" // more than one attempt
-	lateMove   = "move"   // it moved to another path
-	lateFirst  = "first"  // the servers' first event came late
-	latePause  = "pause"  // the servers paused
+	lateCapacity   = "room"   // the request waited for a server with capacity
+	lateSlot       = "slot"   // the first server had no free slot when the request was sent
+	lateCaller     = "caller" // the caller read events slowly
+	lateRetry      = "repeat" // more than one attempt
+	lateMove       = "move"   // the request moved to another path
+	lateFirstEvent = "first"  // the servers' first event was late
+	lateGap        = "pause"  // the servers were slow between two events
 )
 
-// lateCause is why an answer is late by its route's targets; empty when it isn't. The
-// causes that this VM sees for certain go first: what is left lies between the servers'
-// work and this VM's own.
+// lateCause returns why a response is late by its route's targets, or "" if it isn't. Causes
+// that this VM observes directly come first; the others can't be told apart from this VM's own
+// delays.
 func lateCause(x *exchange, choice backends.Choice) string {
 	t := &x.timing
-	lateStart := x.route.Target > 0 && t.first > x.route.Target
-	paused := x.route.Gap > 0 && t.gap > x.route.Gap
+	firstEventLate := x.route.Target > 0 && t.firstEvent > x.route.Target
+	gapLate := x.route.Gap > 0 && t.longestGap > x.route.Gap
 	switch {
-	case !lateStart && !paused:
+	case !firstEventLate && !gapLate:
 		return ""
-	case lateStart && t.room > x.route.Target/2:
-		return lateRoom
-	case lateStart && x.sends == 1 && choice.Queues():
+	case firstEventLate && t.capacityWait > x.route.Target/2:
+		return lateCapacity
+	case firstEventLate && x.sends == 1 && choice.Queues():
 		return lateSlot
-	case paused && t.write > x.route.Gap/2:
+	case gapLate && t.longestWrite > x.route.Gap/2:
 		return lateCaller
 	case x.sends > 1:
-		return lateRepeat
+		return lateRetry
 	case t.moves.Load() > 0:
 		return lateMove
-	case lateStart:
-		return lateFirst
+	case firstEventLate:
+		return lateFirstEvent
 	default:
-		return latePause
+		return lateGap
 	}
 }
 
-// noteLate says why an answer was late.
-func (h *Handler) noteLate(x *exchange, o *opened) {
+// logLate counts and logs the cause of a late response.
+func (h *Handler) logLate(x *exchange, o *openAttempt) {
 	cause := lateCause(x, o.choice)
 	if cause == "" {
 		return
 	}
 	metrics.GetOrCreateCounter(fmt.Sprintf("oleandershunt_relay_late_total{cause=%q}", cause)).Inc()
-	if !h.lateLines.Allow() {
+	if !h.lateLogLimiter.Allow() {
 		return
 	}
 	t := &x.timing
-	telemetry.RelayLate.Log(h.Log, append(x.fields(), "cause", cause, "firstMs", t.first.Milliseconds(),
-		"roomMs", t.room.Milliseconds(), "gapMs", t.gap.Milliseconds(), "writeMs", t.write.Milliseconds(),
+	telemetry.RelayLate.Log(h.Log, append(x.logFields(), "cause", cause, "firstMs", t.firstEvent.Milliseconds(),
+		"roomMs", t.capacityWait.Milliseconds(), "gapMs", t.longestGap.Milliseconds(), "writeMs", t.longestWrite.Milliseconds(),
 		"moves", t.moves.Load(), "server", o.choice.First.ID, "taken", o.choice.Taken, "slots", o.choice.First.Slots,
 		"path", o.choice.Path.String())...)
 }
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -9,55 +9,55 @@
 	"oleandershunt.example/oleandershunt/internal/core/backends"
 )
 
-// queue is a request's place among those that wait for a server's request rate.
-type queue struct {
+// rateQueueEntry is a request's entry among those waiting for a server's request rate.
+type rateQueueEntry struct {
 	h       *Handler
 	service string
-	// out leaves the queue; nil for a request that isn't in it.
-	out func()
+	// dequeue removes the entry; nil if the request isn't queued.
+	dequeue func()
 }
 
-// late tells whether a request that has so long left is refused at once, since servers want
-// none until then, or those before it take what its VM may send. due is in what time it could
-// be sent, 0 where that isn't known.
-func (q *queue) late(deferral backends.Deferral, left time.Duration) (due time.Duration, late bool) {
+// tooLate reports whether a request with the given time left must be refused at once, because
+// the servers accept none until later or the requests queued before it use up what this VM may
+// send. due is the time until it could be sent, 0 if unknown.
+func (q *rateQueueEntry) tooLate(deferral backends.Deferral, timeLeft time.Duration) (due time.Duration, late bool) {
 	ahead := 0
-	if q.out == nil {
-		ahead, q.out = q.h.Dispatcher.queue(q.service)
+	if q.dequeue == nil {
+		ahead, q.dequeue = q.h.Dispatcher.joinRateQueue(q.service)
 	}
 	due, known := deferral.Due(ahead)
-	return due, known && due > left
+	return due, known && due > timeLeft
 }
 
-func (q *queue) leave() {
-	if q.out != nil {
-		q.out()
+func (q *rateQueueEntry) release() {
+	if q.dequeue != nil {
+		q.dequeue()
 	}
 }
 
-// The kinds of attempts.
+// Kinds of attempts.
 const (
 	attemptFirst  = "first"
-	attemptRepeat = "repeat"
+	attemptRetry  = "repeat"
 	attemptResume = "resume"
 )
 
-// attemptKind is what the request's next attempt is.
+// attemptKind returns the kind of the request's next attempt.
 func (x *exchange) attemptKind() string {
 	switch {
 	case x.events > 0:
 		return attemptResume
 	case x.sends > 0:
-		return attemptRepeat
+		return attemptRetry
 	default:
 		return attemptFirst
 	}
 }
 
-// countLimited counts an attempt at a server that sets a rate.
-func (h *Handler) countLimited(x *exchange, o *opened) {
+// countRateLimited counts an attempt on a server that sets a request rate.
+func (h *Handler) countRateLimited(x *exchange, o *openAttempt) {
 	var limited bool
-	h.Dispatcher.Fleet(func(_ time.Duration, fleet *backends.Fleet) { limited = fleet.Limited(o.sent.First.ID) })
+	h.Dispatcher.Fleet(func(_ time.Duration, fleet *backends.Fleet) { limited = fleet.Limited(o.sentTo.First.ID) })
 	if limited {
 		metrics.GetOrCreateCounter(fmt.Sprintf("oleandershunt_relay_limited_attempts_total{kind=%q}", x.attemptKind())).Inc()
 	}
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -17,7 +17,7 @@
 	"oleandershunt.example/oleandershunt/internal/core/budget"
 )
 
-// Guards against: requests queue for a server's rate until their callers are gone.
+// Guards against requests queueing for a server's rate until their callers disconnect.
 func TestARequestBeyondAServersRateIsRefusedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	var runs atomic.Int32
@@ -29,24 +29,24 @@
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 	}))
 	t.Cleanup(server.Close)
-	front := smallFront(t, budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, VMs: 1}, server)
-	g.Expect(ask(g, front, "first")).To(Equal(http.StatusOK))
+	vm := newSmallVM(t, budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, VMs: 1}, server)
+	g.Expect(statusOf(g, vm, "first")).To(Equal(http.StatusOK))
 
 	var callers sync.WaitGroup
 	var served atomic.Int32
 	for i := range 12 {
 		callers.Go(func() {
-			begun := time.Now()
-			answer := answerTo(g, front, fmt.Sprint("r", i))
-			if answer.StatusCode == http.StatusOK {
+			start := time.Now()
+			response := responseTo(g, vm, fmt.Sprint("r", i))
+			if response.StatusCode == http.StatusOK {
 				served.Add(1)
 				return
 			}
-			g.Expect(answer.StatusCode).To(Equal(http.StatusServiceUnavailable))
-			after, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
+			g.Expect(response.StatusCode).To(Equal(http.StatusServiceUnavailable))
+			retryAfter, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(after).To(BeNumerically(">", 1.4), "those before it take what may be sent until then")
-			g.Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
+			g.Expect(retryAfter).To(BeNumerically(">", 1.4), "the requests queued before use up the rate until then")
+			g.Expect(time.Since(start)).To(BeNumerically("<", time.Second))
 		})
 	}
 	callers.Wait()
@@ -54,9 +54,9 @@
 	g.Expect(runs.Load()).To(Equal(served.Load() + 1))
 }
 
-// refusingFront is a VM before a server that set a rate in its first answer, and refuses all
-// requests after that. sent counts what reaches the server.
-func refusingFront(t *testing.T, g *WithT, repeats budget.Options) (front *httptest.Server, sent *atomic.Int32) {
+// newVMWithRefusingServer starts a VM and a server that sets a rate in its first response and
+// refuses all later requests. sent counts the requests that reach the server.
+func newVMWithRefusingServer(t *testing.T, g *WithT, retries budget.Options) (vm *httptest.Server, sent *atomic.Int32) {
 	sent = new(atomic.Int32)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		w.Header().Set("X-Request-Id", request.Header.Get("X-Request-Id"))
@@ -70,20 +70,20 @@
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 	}))
 	t.Cleanup(server.Close)
-	front = smallFront(t, repeats, server)
-	g.Expect(ask(g, front, "first")).To(Equal(http.StatusOK))
-	return front, sent
+	vm = newSmallVM(t, retries, server)
+	g.Expect(statusOf(g, vm, "first")).To(Equal(http.StatusOK))
+	return vm, sent
 }
 
-// Guards against: a request that a server refused is told that its rate was the cause.
-func TestARequestThatWaitedForARateIsToldWhyItIsRefused(t *testing.T) {
+// Guards against a request that a server refused being reported as rate-limited.
+func TestRequestQueuedForARateReportsTheServersRefusal(t *testing.T) {
 	g := NewWithT(t)
-	front, sent := refusingFront(t, g, budget.Options{Window: 10 * time.Second, VMs: 1})
+	vm, sent := newVMWithRefusingServer(t, g, budget.Options{Window: 10 * time.Second, VMs: 1})
 	var callers sync.WaitGroup
 	var refused atomic.Int32
 	for i := range 6 {
 		callers.Go(func() {
-			if _, body := wholeAnswerTo(g, front, fmt.Sprint("r", i)); strings.Contains(body, "servers_refused") {
+			if _, body := responseAndBodyTo(g, vm, fmt.Sprint("r", i)); strings.Contains(body, "servers_refused") {
 				refused.Add(1)
 			}
 		})
@@ -93,15 +93,15 @@
 	g.Expect(refused.Load()).To(Equal(sent.Load() - 1))
 }
 
-// Guards against: a refusal without a rate ends the limit that its server set.
-func TestARefusalDoesNotEndALimit(t *testing.T) {
+// Guards against a refusal without a rate ending the limit that its server set.
+func TestARefusalDoesNotEndARateLimit(t *testing.T) {
 	g := NewWithT(t)
-	front, sent := refusingFront(t, g, budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, VMs: 1})
-	begun := time.Now()
+	vm, sent := newVMWithRefusingServer(t, g, budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, VMs: 1})
+	start := time.Now()
 	var callers sync.WaitGroup
 	for i := range 8 {
-		callers.Go(func() { g.Expect(ask(g, front, fmt.Sprint("r", i))).To(Equal(http.StatusServiceUnavailable)) })
+		callers.Go(func() { g.Expect(statusOf(g, vm, fmt.Sprint("r", i))).To(Equal(http.StatusServiceUnavailable)) })
 	}
 	callers.Wait()
-	g.Expect(float64(sent.Load())).To(BeNumerically("<=", 2+2*time.Since(begun).Seconds()))
+	g.Expect(float64(sent.Load())).To(BeNumerically("<=", 2+2*time.Since(start).Seconds()))
 }
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -8,88 +8,89 @@
 	"time"
 )
 
-// answerBound is the largest answer that is taken in whole. A whole one can be
-// judged before the caller sees any of it, and asked for again elsewhere.
-const answerBound = 1 << 20
+// maxBufferedResponse is the largest response that is read into memory, in bytes. A complete
+// response can be checked before the caller sees any of it, and the request retried on another
+// server.
+const maxBufferedResponse = 1 << 20
 
-// plain serves a request whose answer is one body.
-func (h *Handler) plain(x *exchange) {
-	wait := waits{server: time.Duration(waitPart * float64(x.route.Target))}
+// servePlain serves a request whose response is a single body.
+func (h *Handler) servePlain(x *exchange) {
+	wait := waitLimits{path: time.Duration(pathWaitShare * float64(x.route.Target))}
 	reason := ReasonNoServer
 	for {
 		o, err := h.choose(x, wait)
 		if err != nil {
-			h.refuse(x, x.giveUp(reason))
+			h.refuse(x, x.finalRefusal(reason))
 			return
 		}
-		body, last := h.attemptPlain(x, o)
-		final := last == answered && (o.response.StatusCode < http.StatusInternalServerError || !h.worthRepeat(x, o))
+		body, result := h.attemptPlain(x, o)
+		final := result == responded && (o.response.StatusCode < http.StatusInternalServerError || !h.retryServerFailure(x, o))
 		if final {
-			h.answer(x, o, body)
+			h.writeResponse(x, o, body)
 			o.close(h.Dispatcher)
 			return
 		}
 		o.close(h.Dispatcher)
-		if last == unsent {
+		if result == unsent {
 			continue
 		}
-		reason, wait = reasonOf(last), waits{}
-		if last != answered && !h.mayRepeat(x, last) {
-			h.refuse(x, x.giveUp(reason))
+		reason, wait = refusalReason(result), waitLimits{}
+		if result != responded && !h.mayRetry(x, result) {
+			h.refuse(x, x.finalRefusal(reason))
 			return
 		}
 	}
 }
 
-func reasonOf(last fate) Reason {
-	if last == notStarted {
+func refusalReason(result outcome) Reason {
+	if result == notExecuted {
 		return ReasonRefused
 	}
 	return ReasonBroken
 }
 
-// worthRepeat tells whether a server's own failure is tried again elsewhere: of
-// the failures of safe requests most are the server's, not the request's.
-func (h *Handler) worthRepeat(x *exchange, o *opened) bool {
-	x.failed(o.choice)
-	return h.mayRepeat(x, uncertain)
+// retryServerFailure records a server's own failure and reports whether to retry it elsewhere:
+// most failures of safe requests are caused by the server, not by the request.
+func (h *Handler) retryServerFailure(x *exchange, o *openAttempt) bool {
+	x.recordFailure(o.choice)
+	return h.mayRetry(x, uncertain)
 }
 
-// attemptPlain sends the request and takes the whole answer in.
-func (h *Handler) attemptPlain(x *exchange, o *opened) ([]byte, fate) {
-	if result := h.send(x, o); result != answered {
+// attemptPlain sends the request and reads the whole response.
+func (h *Handler) attemptPlain(x *exchange, o *openAttempt) ([]byte, outcome) {
+	if result := h.send(x, o); result != responded {
 		return nil, result
 	}
-	body, err := io.ReadAll(io.LimitReader(o.response.Body, answerBound+1))
-	if err != nil || len(body) > answerBound {
+	body, err := io.ReadAll(io.LimitReader(o.response.Body, maxBufferedResponse+1))
+	if err != nil || len(body) > maxBufferedResponse {
 		if x.ctx.Err() == nil {
-			h.failedBody(x, o, err)
-			h.brokeOff(x, o, err)
+			h.logFailedResponse(x, o, err)
+			h.recordBrokenConnection(x, o, err)
 		}
-		x.failed(o.choice)
+		x.recordFailure(o.choice)
 		return nil, uncertain
 	}
-	return body, answered
+	return body, responded
 }
 
-// answer passes a whole answer on.
-func (h *Handler) answer(x *exchange, o *opened, body []byte) {
-	copyHead(x.w.Header(), o.response.Header)
+// writeResponse forwards a complete response.
+func (h *Handler) writeResponse(x *exchange, o *openAttempt, body []byte) {
+	copyHeaders(x.w.Header(), o.response.Header)
 	if x.r.Method != http.MethodHead {
 		x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	x.w.WriteHeader(o.response.StatusCode)
-	// A caller that left can't be told.
+	// A write error means that the caller has disconnected.
 	_, _ = x.w.Write(body)
-	x.timing.passed(x.start, 0)
-	h.ended(x, o, o.response.StatusCode)
+	x.timing.recordDelivery(x.start, 0)
+	h.recordCompleted(x, o, o.response.StatusCode)
 }
 
-func copyHead(to, from http.Header) {
+func copyHeaders(to, from http.Header) {
 	for name, values := range from {
 		to[name] = append([]string(nil), values...)
 	}
-	dropHopHeaders(to)
+	removeHopByHopHeaders(to)
 	to.Del("Content-Length")
 }
 
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -16,18 +16,18 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// The figures of requests that crash servers.
+// Limits of the detection of requests that crash servers.
 const (
-	// judgeEvery is the time between two looks whether a crash can be judged.
-	judgeEvery = 200 * time.Millisecond
-	// comeBackPoison is when a request that crashes servers may try again: not while
-	// anybody waits for its answer.
-	comeBackPoison = time.Minute
-	// newsKept is how many findings wait to be told to the other VMs.
-	newsKept = 256
+	// evaluateInterval is the interval at which crashes are evaluated.
+	evaluateInterval = 200 * time.Millisecond
+	// retryAfterPoison is the Retry-After of a request that crashes servers: longer than any
+	// caller waits for its response.
+	retryAfterPoison = time.Minute
+	// maxPendingFindings bounds the findings queued for the other VMs.
+	maxPendingFindings = 256
 )
 
-// Finding is what this VM holds against a body, as it tells others.
+// Finding is the evidence of this VM against a request body, as sent to the other VMs.
 type Finding struct {
 	Account   string `json:"a,omitempty"`
 	Path      string `json:"p"`
@@ -37,50 +37,51 @@
 	Suspected bool   `json:"s,omitempty"`
 	Server    string `json:"v"`
 	Process   uint64 `json:"i,omitempty"`
-	// AgeMS is how long ago the crash was, in milliseconds.
+	// AgeMS is the time since the crash, in milliseconds.
 	AgeMS int64 `json:"t"`
 }
 
-// suspects holds the requests that may crash servers. internal/core/poison decides;
-// what is lost is named by address, since a process that crashed comes back there
-// under another ID. It is safe for concurrent use.
+// poisonSuspects tracks the requests that may crash servers; internal/core/poison decides. Lost
+// servers are identified by address, since a crashed process restarts there under another ID.
+// It is safe for concurrent use.
 //
-// What can go wrong: a request crashes each server that begins to run it. Its
-// repeats, here and by the caller at any VM, take server after server away from all
-// others. One notices servers that crash one after the other, each with the same
-// path, account and body on it.
-type suspects struct {
+// What can go wrong: a request crashes each server that begins to run it. Its retries, here and
+// by the caller on any VM, take down one server after another for all callers. The symptom is
+// servers that crash one after the other, each running a request with the same path, account
+// and body.
+type poisonSuspects struct {
 	mu    sync.Mutex
 	table *poison.Table
-	// news are the findings that wait to be told to the other VMs.
-	news []poison.Finding
-	// running counts the requests of each body that this VM has under way.
+	// pendingFindings are queued for the other VMs.
+	pendingFindings []poison.Finding
+	// running counts this VM's requests in flight by body.
 	running map[poison.Body]int
 }
 
-// suspectTime is how long a crash is held against a body that isn't condemned: callers
-// come back within it, and what ran on two servers by chance is not refused for long.
+// suspectTime is how long a crash counts against a body that isn't condemned: callers retry
+// within it, and a request that ran on two crashed servers by coincidence isn't refused for
+// long.
 const suspectTime = 30 * time.Second
 
-func newSuspects() *suspects {
-	return &suspects{table: poison.New(poison.Options{SuspectTime: suspectTime}), running: make(map[poison.Body]int)}
+func newPoisonSuspects() *poisonSuspects {
+	return &poisonSuspects{table: poison.New(poison.Options{SuspectTime: suspectTime}), running: make(map[poison.Body]int)}
 }
 
-// bodyOf names what a request asks, whatever its ID is.
-func bodyOf(x *exchange) poison.Body {
+// poisonBody identifies the content of a request, independent of its ID.
+func poisonBody(x *exchange) poison.Body {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(x.r.Method + "\n" + x.r.URL.RequestURI() + "\n") // a hash takes any bytes
 	_, _ = hash.Write(x.body)
 	return poison.Body{Account: x.account.Name, Pipeline: x.r.Host + x.r.URL.Path, Hash: max(hash.Sum64(), 1)}
 }
 
-// process tells one process of a server from the next.
-func process(id string) uint64 { return max(xxhash.Sum64String(id), 1) }
+// processID distinguishes one process of a server from the next.
+func processID(id string) uint64 { return max(xxhash.Sum64String(id), 1) }
 
-// begin tells whether a request may run, and counts it. One that alone explains the
-// crashes of several servers may not. One that was on several runs one at a time, so
-// that an innocent one is soon known by its answer.
-func (s *suspects) begin(body poison.Body) bool {
+// begin reports whether a request may run, and counts it if so. A body that alone explains the
+// crashes of several servers may not run. A body that ran on several crashed servers runs one
+// request at a time, so that a response soon clears one that is harmless.
+func (s *poisonSuspects) begin(body poison.Body) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	level := s.table.Level(bootclock.Now(), body)
@@ -91,8 +92,8 @@
 	return true
 }
 
-// end takes a request off that may run.
-func (s *suspects) end(body poison.Body) {
+// end removes a request counted by begin.
+func (s *poisonSuspects) end(body poison.Body) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running[body]--; s.running[body] <= 0 {
@@ -100,60 +101,60 @@
 	}
 }
 
-// lossesToStop is after how many lost servers, crashed or not, a request is given up:
-// what is found out about them decides whether it may come again.
-const lossesToStop = 3
+// maxLosses is the number of lost servers, crashed or not, after which a request is given up.
+// The evaluation of those losses decides whether later requests with the same body may run.
+const maxLosses = 3
 
-// repeats tells whether a request that lost servers may have another one.
-func (s *suspects) repeats(body poison.Body) bool {
+// retryAllowed reports whether a request on which servers were lost may have another attempt.
+func (s *poisonSuspects) retryAllowed(body poison.Body) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Crashes(bootclock.Now(), body) < lossesToStop
+	return s.table.Crashes(bootclock.Now(), body) < maxLosses
 }
 
-// lost takes a connection to a server that broke with the request on it.
-func (s *suspects) lost(body poison.Body, server backends.Server, sent time.Duration, events int) {
+// recordLoss records that the connection to a server broke while the request was running.
+func (s *poisonSuspects) recordLoss(body poison.Body, server backends.Server, sent time.Duration, events int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := bootclock.Now()
-	loss := poison.Loss{Server: server.Address, Incarnation: process(server.ID), Body: body, Progress: events, Sent: sent}
+	loss := poison.Loss{Server: server.Address, Incarnation: processID(server.ID), Body: body, Progress: events, Sent: sent}
 	if s.table.Lost(now, loss) {
-		s.tell(poison.Finding{
+		s.queueFinding(poison.Finding{
 			Body: body, Crashes: s.table.Crashes(now, body), Suspected: true,
 			Server: server.Address, Incarnation: loss.Incarnation, At: now,
 		})
 	}
 }
 
-func (s *suspects) tell(finding poison.Finding) {
-	if len(s.news) < newsKept {
-		s.news = append(s.news, finding)
+func (s *poisonSuspects) queueFinding(finding poison.Finding) {
+	if len(s.pendingFindings) < maxPendingFindings {
+		s.pendingFindings = append(s.pendingFindings, finding)
 	}
 }
 
-// closed says that nothing listens at a server's address any more.
-func (s *suspects) closed(server backends.Server) {
+// recordConnectionRefused records that nothing listens at a server's address any more.
+func (s *poisonSuspects) recordConnectionRefused(server backends.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Refused(bootclock.Now(), server.Address)
 }
 
-// Registered says which process is at an address now. Another one than before proves
-// that the former ended.
+// Registered records the process at a server's address. A process other than the previous one
+// proves that the previous one has ended.
 func (h *Handler) Registered(server backends.Server) {
 	h.suspects.mu.Lock()
 	defer h.suspects.mu.Unlock()
-	h.suspects.table.Seen(bootclock.Now(), 0, server.Address, process(server.ID))
+	h.suspects.table.Seen(bootclock.Now(), 0, server.Address, processID(server.ID))
 }
 
-// RunPoison judges crashes until ctx ends.
+// RunPoison evaluates crashes until ctx ends.
 func (h *Handler) RunPoison(ctx context.Context) error {
-	ticker := time.NewTicker(judgeEvery)
+	ticker := time.NewTicker(evaluateInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			for _, finding := range h.suspects.judge() {
+			for _, finding := range h.suspects.evaluate() {
 				telemetry.RelayPoison.Log(h.Log, "account", finding.Account, "path", finding.Pipeline, "hash", finding.Hash,
 					"crashes", finding.Crashes, "server", finding.Server, "condemned", finding.Condemned)
 			}
@@ -163,37 +164,38 @@
 	}
 }
 
-// judge decides what is due. It returns the findings that matter beyond one crash.
-func (s *suspects) judge() []poison.Finding {
+// evaluate makes the decisions that are due. It returns the findings that concern more than one
+// crash.
+func (s *poisonSuspects) evaluate() []poison.Finding {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var grave []poison.Finding
+	var reportable []poison.Finding
 	for _, finding := range s.table.Judge(bootclock.Now()) {
-		s.tell(finding)
+		s.queueFinding(finding)
 		if finding.Crashes > 1 || finding.Condemned {
-			grave = append(grave, finding)
+			reportable = append(reportable, finding)
 		}
 	}
-	return grave
+	return reportable
 }
 
-// Findings are those that are new since it was last asked, for the other VMs.
+// Findings returns the findings since the last call, for the other VMs.
 func (h *Handler) Findings() []Finding {
 	h.suspects.mu.Lock()
 	defer h.suspects.mu.Unlock()
 	now := bootclock.Now()
 	var list []Finding
-	for _, f := range h.suspects.news {
+	for _, f := range h.suspects.pendingFindings {
 		list = append(list, Finding{
 			Account: f.Account, Path: f.Pipeline, Hash: f.Hash, Crashes: f.Crashes, Condemned: f.Condemned, Suspected: f.Suspected,
 			Server: f.Server, Process: f.Incarnation, AgeMS: (now - f.At).Milliseconds(),
 		})
 	}
-	h.suspects.news = nil
+	h.suspects.pendingFindings = nil
 	return list
 }
 
-// HeardFinding takes another VM's finding.
+// HeardFinding applies another VM's finding.
 func (h *Handler) HeardFinding(f Finding) {
 	h.suspects.mu.Lock()
 	defer h.suspects.mu.Unlock()
@@ -205,32 +207,33 @@
 	})
 }
 
-// acquit clears a request that ran to its end: what many ask for again and again is on
-// every server that crashes.
-func (s *suspects) acquit(body poison.Body) {
+// clear clears a request that completed: a popular request is in flight on every server that
+// crashes.
+func (s *poisonSuspects) clear(body poison.Body) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.Cleared(body)
 }
 
-// brokeOff notes an attempt whose connection broke after it was sent. One that the
-// caller, the time limit or the server's planned stop ended says nothing about it.
-func (h *Handler) brokeOff(x *exchange, o *opened, err error) {
+// recordBrokenConnection records an attempt whose connection broke after it was sent. A
+// connection ended by the caller, the time limit or the server's planned stop is no evidence
+// against the request.
+func (h *Handler) recordBrokenConnection(x *exchange, o *openAttempt, err error) {
 	if err == nil || x.ctx.Err() != nil || errors.Is(context.Cause(o.ctx), errStalled) {
 		return
 	}
-	if h.Dispatcher.leaving(o.choice.First.ID) {
-		x.ended = append(x.ended, o.choice.First.ID)
+	if h.Dispatcher.draining(o.choice.First.ID) {
+		x.cutByDrain = append(x.cutByDrain, o.choice.First.ID)
 		return
 	}
-	h.suspects.lost(x.poison, o.choice.First, o.begun, x.events)
+	h.suspects.recordLoss(x.poison, o.choice.First, o.sentAt, x.events)
 }
 
-// refusedConnection tells whether nothing listens at an address.
-func refusedConnection(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnectionRefused reports whether nothing listens at an address.
+func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// poisoned is the refusal of a request that crashes servers. This attempt of it has
-// not run and won't.
-func poisoned() *refusal {
-	return &refusal{status: http.StatusServiceUnavailable, reason: ReasonPoison, execution: NotRun, retryAfter: comeBackPoison}
+// poisonRefusal is the refusal of a request that crashes servers. This attempt of it has not
+// run and won't.
+func poisonRefusal() *refusal {
+	return &refusal{status: http.StatusServiceUnavailable, reason: ReasonPoison, execution: NotRun, retryAfter: retryAfterPoison}
 }
--- a/internal/relay/poison_test.go
+++ b/internal/relay/poison_test.go
@@ -21,27 +21,27 @@
 	"oleandershunt.example/oleandershunt/platform"
 )
 
-// fragile is two VMs before servers that crash on the body "poison" and come back as
-// another process at the same address.
-type fragile struct {
+// crashRig is two VMs and servers that crash on the body "poison" and restart as another
+// process at the same address.
+type crashRig struct {
 	*WithT
-	vms   []*relay.Handler
-	calls []string // the VMs' URLs
-	mu    sync.Mutex
-	// processes counts the processes at each server's place, down says that the last
-	// one has crashed, and crashes counts all that did.
+	vms  []*relay.Handler
+	urls []string // the VMs' URLs
+	mu   sync.Mutex
+	// processes counts the processes of each server, down marks servers whose last process has
+	// crashed, and crashes counts all crashes.
 	processes []int
 	down      []bool
 	addresses []string
 	crashes   int
 }
 
-func newFragile(t *testing.T, servers int) *fragile {
-	f := &fragile{WithT: NewWithT(t), processes: make([]int, servers), down: make([]bool, servers)}
+func newCrashRig(t *testing.T, servers int) *crashRig {
+	r := &crashRig{WithT: NewWithT(t), processes: make([]int, servers), down: make([]bool, servers)}
 	for i := range servers {
-		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) { f.run(i, w, request) }))
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) { r.serve(i, w, request) }))
 		t.Cleanup(server.Close)
-		f.addresses = append(f.addresses, strings.TrimPrefix(server.URL, "http://"))
+		r.addresses = append(r.addresses, strings.TrimPrefix(server.URL, "http://"))
 	}
 	route := routes.Route{Host: "a.example", Prefix: "/", Repeat: routes.Freely, Attempts: 2, Shares: []routes.Share{{Service: "app", Weight: 1}}}
 	for range 2 {
@@ -50,43 +50,43 @@
 		handler := relay.New(relay.Options{
 			Log: logr.Discard(), Wire: platform.Requests{}, Dispatcher: d, DataCentre: "a", Proven: func() bool { return true },
 		})
-		go func() { f.Expect(handler.RunPoison(t.Context())).To(MatchError(t.Context().Err())) }()
-		front := httptest.NewServer(handler)
-		t.Cleanup(front.Close)
-		f.vms, f.calls = append(f.vms, handler), append(f.calls, front.URL)
+		go func() { r.Expect(handler.RunPoison(t.Context())).To(MatchError(t.Context().Err())) }()
+		server := httptest.NewServer(handler)
+		t.Cleanup(server.Close)
+		r.vms, r.urls = append(r.vms, handler), append(r.urls, server.URL)
 	}
-	f.register()
-	return f
+	r.register()
+	return r
 }
 
-// register has the crashed servers come back, shows both VMs which processes there are,
-// and tells each what the other found.
-func (f *fragile) register() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// register restarts the crashed servers, updates both VMs' server lists and exchanges their
+// findings.
+func (r *crashRig) register() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var list []backends.Server
-	for i, address := range f.addresses {
-		if f.down[i] {
-			f.processes[i]++
-			f.down[i] = false
+	for i, address := range r.addresses {
+		if r.down[i] {
+			r.processes[i]++
+			r.down[i] = false
 		}
-		list = append(list, backends.Server{ID: fmt.Sprintf("s%d-%d", i, f.processes[i]), Service: "app", Address: address, DataCentre: "a", Slots: 4})
+		list = append(list, backends.Server{ID: fmt.Sprintf("s%d-%d", i, r.processes[i]), Service: "app", Address: address, DataCentre: "a", Slots: 4})
 	}
-	for i, vm := range f.vms {
+	for i, vm := range r.vms {
 		vm.Dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Replace(now, list, 1) })
 		for _, server := range list {
 			vm.Registered(server)
 		}
 		for _, finding := range vm.Findings() {
-			f.vms[1-i].HeardFinding(finding)
+			r.vms[1-i].HeardFinding(finding)
 		}
 	}
 }
 
-func (f *fragile) run(place int, w http.ResponseWriter, request *http.Request) {
+func (r *crashRig) serve(i int, w http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
-	f.Expect(err).NotTo(HaveOccurred())
-	if f.crashed(place, string(body)) {
+	r.Expect(err).NotTo(HaveOccurred())
+	if r.crashed(i, string(body)) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Request-Id", request.Header.Get("X-Request-Id"))
@@ -94,76 +94,74 @@
 	_, _ = io.WriteString(w, "done")
 }
 
-// crashed tells whether the server at a place is down, or goes down by the body.
-func (f *fragile) crashed(place int, body string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if body == "poison" && !f.down[place] {
-		f.down[place] = true
-		f.crashes++
+// crashed reports whether a server is down or crashes on the body.
+func (r *crashRig) crashed(i int, body string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if body == "poison" && !r.down[i] {
+		r.down[i] = true
+		r.crashes++
 	}
-	return f.down[place]
+	return r.down[i]
 }
 
-// call returns the answer's status and body.
-func (f *fragile) call(vm, id int, body string) (status int, answer string) {
-	request, err := http.NewRequest(http.MethodPost, f.calls[vm]+"/path", strings.NewReader(body))
-	f.Expect(err).NotTo(HaveOccurred())
+// call sends a request and returns the response's status and body.
+func (r *crashRig) call(vm, id int, body string) (status int, responseBody string) {
+	request, err := http.NewRequest(http.MethodPost, r.urls[vm]+"/path", strings.NewReader(body))
+	r.Expect(err).NotTo(HaveOccurred())
 	request.Host = "a.example"
 	request.Header.Set("X-Request-Id", fmt.Sprint("r", id))
 	response, err := http.DefaultClient.Do(request)
-	f.Expect(err).NotTo(HaveOccurred())
+	r.Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
-	f.Expect(err).NotTo(HaveOccurred())
+	r.Expect(err).NotTo(HaveOccurred())
 	return response.StatusCode, string(data)
 }
 
-// Symptom: servers crash one after the other, for all callers. Sequence: a request
-// crashes each server that runs it; its caller sends it again and again, to other VMs
-// too. Cause: each attempt is judged by itself.
+// Guards against a request that crashes one server after another: its caller retries it on
+// several VMs, and each attempt is evaluated separately.
 func TestARequestThatCrashesServersIsRefusedByAllVMs(t *testing.T) {
-	f := newFragile(t, 6)
+	r := newCrashRig(t, 6)
 	id := 0
-	refused := func(vm int) func() string {
+	call := func(vm int) func() string {
 		return func() string {
 			id++
-			_, answer := f.call(vm, id, "poison")
-			f.register()
-			return answer
+			_, body := r.call(vm, id, "poison")
+			r.register()
+			return body
 		}
 	}
-	f.Eventually(refused(0), "10s", "400ms").Should(ContainSubstring("crashes_servers"))
-	f.Eventually(refused(1), "10s", "400ms").Should(ContainSubstring("crashes_servers"))
-	f.mu.Lock()
-	crashes := f.crashes
-	f.mu.Unlock()
-	f.Expect(crashes).To(BeNumerically("<=", 8), "two crashes and the judgement, which takes two seconds")
+	r.Eventually(call(0), "10s", "400ms").Should(ContainSubstring("crashes_servers"))
+	r.Eventually(call(1), "10s", "400ms").Should(ContainSubstring("crashes_servers"))
+	r.mu.Lock()
+	crashes := r.crashes
+	r.mu.Unlock()
+	r.Expect(crashes).To(BeNumerically("<=", 8), "two crashes, and those during the evaluation, which takes two seconds")
 	for range 5 {
-		f.Expect(refused(0)()).To(ContainSubstring("not_run"))
-		f.Expect(refused(1)()).To(ContainSubstring("crashes_servers"))
+		r.Expect(call(0)()).To(ContainSubstring("not_run"))
+		r.Expect(call(1)()).To(ContainSubstring("crashes_servers"))
 	}
-	f.Expect(f.crashes).To(Equal(crashes))
-	status, _ := f.call(0, 1000, "innocent")
-	f.Expect(status).To(Equal(http.StatusOK))
+	r.Expect(r.crashes).To(Equal(crashes))
+	status, _ := r.call(0, 1000, "harmless")
+	r.Expect(status).To(Equal(http.StatusOK))
 }
 
-// Symptom: what everybody asks for is refused after two servers crashed. Sequence: it
-// runs on every server at any moment, so it was on both. Cause: that it runs well
-// elsewhere isn't held in its favour.
-func TestWhatRunsWellElsewhereIsNotHeldAgainst(t *testing.T) {
-	f := newFragile(t, 4)
+// Guards against refusing a popular request after two servers crashed. It is in flight on every
+// server at any time, so it was on both; its success elsewhere must clear it.
+func TestAPopularRequestIsClearedBySuccess(t *testing.T) {
+	r := newCrashRig(t, 4)
 	for round := range 3 {
-		f.call(0, round, "poison")
+		r.call(0, round, "poison")
 		for i := range 3 {
-			f.call(i%2, 100+10*round+i, "popular") // some are lost to the servers that are down
+			r.call(i%2, 100+10*round+i, "popular") // some requests fail on the crashed servers
 		}
-		f.register()
-		status, _ := f.call(0, 200+round, "popular")
-		f.Expect(status).To(Equal(http.StatusOK))
+		r.register()
+		status, _ := r.call(0, 200+round, "popular")
+		r.Expect(status).To(Equal(http.StatusOK))
 	}
-	f.Consistently(func() int {
-		status, _ := f.call(1, 2000, "popular")
+	r.Consistently(func() int {
+		status, _ := r.call(1, 2000, "popular")
 		return status
 	}, "2s", "100ms").Should(Equal(http.StatusOK))
 }
--- a/internal/relay/refuse.go
+++ b/internal/relay/refuse.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Execution says what became of a request that is refused.
+// Execution says whether a refused request may have run.
 type Execution string
 
-// The truths about a request.
+// Values of Execution.
 const (
 	// NotRun: no backend server ran it, and none will.
 	NotRun Execution = "not_run"
-	// MayHaveRun: a server had it, and what became of it isn't known.
+	// MayHaveRun: a server received it, and the outcome is unknown.
 	MayHaveRun Execution = "may_have_run"
 )
 
-// Reason is why a request is refused, the same word in answers, logs and metrics.
+// Reason is why a request is refused, the same string in responses, logs and metrics.
 type Reason string
 
-// The reasons.
+// Reasons of refusals.
 const (
 	ReasonNoRoute       Reason = "no_route"
 	ReasonUnknownKey    Reason = "unknown_key"
@@ -41,27 +41,28 @@
 	ReasonPoison        Reason = "crashes_servers"
 )
 
-// refusal is an answer of this VM's own.
+// refusal is a response that this VM generates itself.
 type refusal struct {
 	status    int
 	reason    Reason
 	execution Execution
-	// retryAfter is when to come back. 0 leaves it out.
+	// retryAfter is sent as Retry-After. 0 omits the header.
 	retryAfter time.Duration
 }
 
-// notRun is the refusal of a request that no server ran: the status promises so.
-func notRun(reason Reason, retryAfter time.Duration) *refusal {
+// notRunRefusal is the refusal of a request that no server ran; its status 503 promises that.
+func notRunRefusal(reason Reason, retryAfter time.Duration) *refusal {
 	return &refusal{status: http.StatusServiceUnavailable, reason: reason, execution: NotRun, retryAfter: retryAfter}
 }
 
-// rejected is the refusal of a request that can't be taken as it is.
-func rejected(status int, reason Reason) *refusal {
+// rejection is the refusal of a request that can't be accepted as it is.
+func rejection(status int, reason Reason) *refusal {
 	return &refusal{status: status, reason: reason, execution: NotRun}
 }
 
-// unknown is the refusal of a request that may have run: the status promises nothing.
-func unknown(reason Reason) *refusal {
+// uncertainRefusal is the refusal of a request that may have run; its status 502 or 504 promises
+// nothing.
+func uncertainRefusal(reason Reason) *refusal {
 	status := http.StatusBadGateway
 	if reason == ReasonTimeout {
 		status = http.StatusGatewayTimeout
@@ -82,6 +83,7 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(r.status)
-	// A caller that left can't be told; its connection is closed by the server.
+	// A write error means that the caller has disconnected; the HTTP server closes the
+	// connection.
 	_, _ = w.Write(body)
 }
--- a/internal/relay/repeat.go
+++ b/internal/relay/repeat.go
@@ -9,156 +9,155 @@
 	"oleandershunt.example/oleandershunt/internal/core/routes"
 )
 
-// The figures of repeats.
+// Limits of retries.
 const (
-	// refusalsBound is how often a request is offered to servers that say not to
-	// have run it.
-	refusalsBound = 4
-	// failuresBound is how often a request runs that may run freely and that servers
+	// maxRefusals is how often a request is offered to servers that report it as not run.
+	maxRefusals = 4
+	// maxSends is how often a request is sent that may run more than once and that servers
 	// answer with a failure of their own.
-	failuresBound = 4
-	// offersPart and answersPart are the parts of the budget of repeats for requests
-	// that no server took and for those without an answer. The rest is for answers
-	// that have begun: their callers and servers have most to lose.
-	offersPart  = 0.75
-	answersPart = 0.9
-	// offerStep is the time between two questions for a repeat of a request that was refused
-	// once. It doubles with each further refusal: a server ends a usual request of 2 s each
-	// 10 to 20 ms, and sums of loads come each 250 ms.
-	offerStep = 50 * time.Millisecond
+	maxSends = 4
+	// refusedBudgetShare and unansweredBudgetShare are the shares of the retry budget for
+	// requests that no server took and for those without a response. The rest is reserved for
+	// responses that have begun: their callers and servers have most to lose.
+	refusedBudgetShare    = 0.75
+	unansweredBudgetShare = 0.9
+	// minOfferBackoff is the interval at which a request that was refused once asks for a
+	// retry. It doubles with each further refusal: a server completes a usual request of 2 s
+	// every 10 to 20 ms, and the VMs exchange loads every 250 ms.
+	minOfferBackoff = 50 * time.Millisecond
 )
 
-// mayRepeat tells whether another attempt is allowed, and takes it from the budget.
-func (h *Handler) mayRepeat(x *exchange, last fate) bool {
+// mayRetry reports whether another attempt is allowed, and takes it from the budget.
+func (h *Handler) mayRetry(x *exchange, result outcome) bool {
 	if x.ctx.Err() != nil {
 		return false
 	}
-	if last == notStarted {
-		return x.refusals < refusalsBound && !h.putOff(x) && h.mayOffer(x)
+	if result == notExecuted {
+		return x.refusals < maxRefusals && !h.pausedBeyondWait(x) && h.awaitRetry(x)
 	}
-	reserved := x.reserved
-	x.reserved = false
+	reserved := x.retryReserved
+	x.retryReserved = false
 	if x.route.Repeat == routes.Once || !h.mayRunAgain(x, x.sends) {
 		return false
 	}
-	x.only = nil
-	if !h.mayRunElsewhere(x, x.ran) {
-		// No more servers may run it, but those that did may do so again.
+	x.allowed = nil
+	if !h.mayRunElsewhere(x, x.ranOn) {
+		// It may not run on further servers, but those that ran it may run it again.
 		if x.route.Repeat != routes.Freely {
 			return false
 		}
-		x.only = x.ran
+		x.allowed = x.ranOn
 	}
 	if reserved {
 		return true
 	}
-	if h.putOff(x) || !x.route.Stream && h.noServer(x) {
+	if h.pausedBeyondWait(x) || !x.route.Stream && h.noServerAvailable(x) {
 		return false
 	}
-	return h.Dispatcher.mayRepeat(x.service.Name, x.part(answersPart))
+	return h.Dispatcher.takeRetry(x.service.Name, x.budgetShare(unansweredBudgetShare))
 }
 
-// putOff tells whether all servers that could take the request's next attempt asked for a
-// pause that is longer than it waits. It is refused then, and takes no repeat.
-func (h *Handler) putOff(x *exchange) bool {
+// pausedBeyondWait reports whether all servers that could take the request's next attempt asked
+// for a pause longer than the request may wait. Such a request is refused without taking a retry.
+func (h *Handler) pausedBeyondWait(x *exchange) bool {
 	var wait time.Duration
 	if x.route.Stream {
-		wait = waitsFor(x).room
+		wait = remainingWaits(x).capacity
 	}
-	_, err := h.Dispatcher.look(x.service, h.request(x))
+	_, err := h.Dispatcher.preview(x.service, h.choiceRequest(x))
 	paused := new(backends.PauseError)
 	if !errors.As(err, &paused) || paused.Wait <= wait {
 		return false
 	}
-	x.deferred, x.due, x.detail = ReasonPaused, paused.Wait, err.Error()
+	x.deferReason, x.retryIn, x.detail = ReasonPaused, paused.Wait, err.Error()
 	return true
 }
 
-// noServer tells whether no server can take the request's next attempt now. A plain request
-// doesn't wait for one then, and its answer may be there already.
-func (h *Handler) noServer(x *exchange) bool {
-	_, err := h.Dispatcher.look(x.service, h.request(x))
+// noServerAvailable reports whether no server can take the request's next attempt now. A plain
+// request doesn't wait for a server then, and its failure response may already be available.
+func (h *Handler) noServerAvailable(x *exchange) bool {
+	_, err := h.Dispatcher.preview(x.service, h.choiceRequest(x))
 	return err != nil
 }
 
-// reasonFor is why a request is refused for which servers want to be waited for.
-func reasonFor(deferral backends.Deferral) Reason {
+// deferralReason returns the reason of the refusal of a request that its servers defer.
+func deferralReason(deferral backends.Deferral) Reason {
 	if paused := new(backends.PauseError); errors.As(deferral, &paused) {
 		return ReasonPaused
 	}
 	return ReasonLimited
 }
 
-// part is the part of the budget of repeats that a request may take: all of it once its
-// answer has begun.
-func (x *exchange) part(other float64) float64 {
+// budgetShare returns the share of the retry budget that a request may use: all of it once its
+// response has begun, otherwise other.
+func (x *exchange) budgetShare(other float64) float64 {
 	if x.events > 0 {
 		return 1
 	}
 	return other
 }
 
-// mayOffer takes a repeat from the budget for a request that no server ran. It waits for
-// one as for room, and the longer the more servers have refused the request.
+// awaitRetry takes a retry from the budget for a request that no server ran. It waits for one
+// within the wait for capacity, with a backoff that grows with the number of refusals.
 //
-// What can go wrong: servers of one data centre are lost, and its VMs offer requests to
-// others, which fill up at once. A request is refused after four offers in 17 ms, or after
-// one since its VM's part of the repeats of a moment is used up, though there is room and a
-// repeat some 100 ms later; an answer that has begun is cut.
-func (h *Handler) mayOffer(x *exchange) bool {
-	begun, step := time.Now(), offerStep<<max(x.refusals-1, 0)
-	wait := waitsFor(x).room
-	defer func() { x.timing.room += time.Since(begun) }()
-	if x.refusals == 1 && h.Dispatcher.mayRepeat(x.service.Name, x.part(offersPart)) {
+// What can go wrong: servers of one data centre are lost, and its VMs offer requests to others,
+// which fill up at once. Without the wait, a request is refused after four offers in 17 ms, or
+// after one if its VM's share of the retries is used up for the moment, although capacity and a
+// retry are available some 100 ms later; a response that has begun is cut.
+func (h *Handler) awaitRetry(x *exchange) bool {
+	start, backoff := time.Now(), minOfferBackoff<<max(x.refusals-1, 0)
+	wait := remainingWaits(x).capacity
+	defer func() { x.timing.capacityWait += time.Since(start) }()
+	if x.refusals == 1 && h.Dispatcher.takeRetry(x.service.Name, x.budgetShare(refusedBudgetShare)) {
 		return true
 	}
-	for time.Since(begun)+step <= wait {
+	for time.Since(start)+backoff <= wait {
 		select {
-		case <-time.After(step):
+		case <-time.After(backoff):
 		case <-x.ctx.Done():
 			return false
 		}
-		if h.Dispatcher.mayRepeat(x.service.Name, x.part(offersPart)) {
+		if h.Dispatcher.takeRetry(x.service.Name, x.budgetShare(refusedBudgetShare)) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayRunAgain tells whether a request that may run again has another attempt after so
-// many, repeats of all VMs left aside.
+// mayRunAgain reports whether a request that may run more than once may have another attempt
+// after so many sends, regardless of the shared retry budget.
 func (h *Handler) mayRunAgain(x *exchange, sends int) bool {
-	return sends < failuresBound && h.suspects.repeats(x.poison)
+	return sends < maxSends && h.suspects.retryAllowed(x.poison)
 }
 
-// mayRunElsewhere tells whether a request that ran on servers may run on one more.
+// mayRunElsewhere reports whether a request that ran on the given servers may run on one more.
 func (h *Handler) mayRunElsewhere(x *exchange, ran []string) bool {
-	return h.live(ran) < max(x.route.Attempts, 1)
+	return h.countKnown(ran) < max(x.route.Attempts, 1)
 }
 
-// live counts the servers that are still there.
-func (h *Handler) live(ids []string) int {
-	live := 0
+// countKnown counts the servers that are still known.
+func (h *Handler) countKnown(ids []string) int {
+	known := 0
 	for _, id := range ids {
-		if !h.Dispatcher.gone(id) {
-			live++
+		if !h.Dispatcher.removed(id) {
+			known++
 		}
 	}
-	return live
+	return known
 }
 
-// giveUp is the truth about a request that could not be served.
-func (x *exchange) giveUp(reason Reason) *refusal {
+// finalRefusal returns the refusal of a request that could not be served.
+func (x *exchange) finalRefusal(reason Reason) *refusal {
 	timeout := errors.Is(context.Cause(x.ctx), errDeadline)
 	if timeout {
 		reason = ReasonTimeout
 	}
 	switch {
 	case x.mayHaveRun:
-		return unknown(reason)
-	case x.deferred != "" && !timeout:
-		return notRun(x.deferred, max(x.due, comeBack))
+		return uncertainRefusal(reason)
+	case x.deferReason != "" && !timeout:
+		return notRunRefusal(x.deferReason, max(x.retryIn, retryAfterDefault))
 	default:
-		return notRun(reason, comeBack)
+		return notRunRefusal(reason, retryAfterDefault)
 	}
 }
--- a/internal/relay/reports.go
+++ b/internal/relay/reports.go
@@ -11,113 +11,111 @@
 	"oleandershunt.example/oleandershunt/internal/core/chain"
 )
 
-// The figures of reports.
+// Limits of fetching reports.
 const (
-	// reportTimeout bounds the question for a report. The answer takes a millisecond
-	// or two.
+	// reportTimeout bounds fetching a report, which normally takes one or two milliseconds.
 	reportTimeout = 200 * time.Millisecond
-	// stallAge is how old a report may be that tells what requests wait for: servers
-	// make a new one every 200 ms.
-	stallAge = 150 * time.Millisecond
-	// paceAge is how old a report may be that tells a server's pace.
-	paceAge = time.Second
-	// pacesPerSecond and paceBurst bound the questions for paces of one VM; each is
-	// paid for.
-	pacesPerSecond = 8
-	paceBurst      = 16
-	// reportsKept bounds the reports that are kept.
-	reportsKept = 1024
+	// maxStallReportAge is how old a report may be to tell which server a request waits for:
+	// servers make a new one every 200 ms.
+	maxStallReportAge = 150 * time.Millisecond
+	// maxPaceReportAge is how old a report may be to tell a server's pace.
+	maxPaceReportAge = time.Second
+	// paceReportsPerSecond and paceReportBurst limit the fetches of reports for paces by one
+	// VM, as each has a cost.
+	paceReportsPerSecond = 8
+	paceReportBurst      = 16
+	// maxCachedReports bounds the number of cached reports.
+	maxCachedReports = 1024
 )
 
-// reports asks servers for their reports. Streams that wait for the same server
-// share one: many fall silent together, and each question is paid for. It is safe for
-// concurrent use.
-type reports struct {
-	engines Engines
-	paces   *rate.Limiter
+// reportCache fetches servers' reports. Streams that wait for the same server share one: many
+// stall together, and each fetch has a cost. It is safe for concurrent use.
+type reportCache struct {
+	engines     Engines
+	paceLimiter *rate.Limiter
 
-	mu  sync.Mutex
-	all map[string]*reported
+	mu      sync.Mutex
+	entries map[string]*cachedReport
 }
 
-// reported is a report that was asked for; ready is closed when it is there.
-type reported struct {
-	asked  time.Time
-	ready  chan struct{}
-	report Report
-	err    error
+// cachedReport is a report that was requested; ready is closed when it has arrived.
+type cachedReport struct {
+	requestedAt time.Time
+	ready       chan struct{}
+	report      Report
+	err         error
 }
 
-func newReports(engines Engines) *reports {
-	return &reports{engines: engines, paces: rate.NewLimiter(pacesPerSecond, paceBurst), all: make(map[string]*reported)}
+func newReportCache(engines Engines) *reportCache {
+	return &reportCache{engines: engines, paceLimiter: rate.NewLimiter(paceReportsPerSecond, paceReportBurst), entries: make(map[string]*cachedReport)}
 }
 
-// get returns a report that was asked for no longer ago than age.
-func (r *reports) get(ctx context.Context, address string, age time.Duration) (Report, error) {
-	asked := r.ask(address, age)
+// get returns a report that was requested no longer than age ago.
+func (r *reportCache) get(ctx context.Context, address string, age time.Duration) (Report, error) {
+	cached := r.fetch(address, age)
 	select {
-	case <-asked.ready:
-		return asked.report, asked.err
+	case <-cached.ready:
+		return cached.report, cached.err
 	case <-ctx.Done():
 		return Report{}, context.Cause(ctx)
 	}
 }
 
-func (r *reports) ask(address string, age time.Duration) *reported {
+func (r *reportCache) fetch(address string, age time.Duration) *cachedReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known, ok := r.all[address]; ok && time.Since(known.asked) < age {
-		return known
+	if cached, ok := r.entries[address]; ok && time.Since(cached.requestedAt) < age {
+		return cached
 	}
-	if len(r.all) >= reportsKept {
-		clear(r.all)
+	if len(r.entries) >= maxCachedReports {
+		clear(r.entries)
 	}
-	asked := &reported{asked: time.Now(), ready: make(chan struct{})}
-	r.all[address] = asked
+	fresh := &cachedReport{requestedAt: time.Now(), ready: make(chan struct{})}
+	r.entries[address] = fresh
 	go func() {
-		// It is not one stream's question, so it doesn't end with one.
+		// The fetch is shared by several streams, so it isn't cancelled with one of them.
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
-		asked.report, asked.err = r.engines.Report(ctx, address)
-		close(asked.ready)
+		fresh.report, fresh.err = r.engines.Report(ctx, address)
+		close(fresh.ready)
 	}()
-	return asked
+	return fresh
 }
 
-// learnPaces asks the servers of a path how fast they are.
+// refreshPaces fetches the paces of the servers on a path.
 //
-// What can go wrong: a server works at a quarter of its speed and says nothing. All
-// paths through it queue up there, while others idle. One notices first events that
-// are late without any refusal. Only its report tells.
-func (h *Handler) learnPaces(path chain.Path) {
+// What can go wrong: a server works at a quarter of its speed without reporting a problem to
+// callers. All paths through it queue up there while others are idle. The symptom is late first
+// events without any refusal; only the server's report shows the cause.
+func (h *Handler) refreshPaces(path chain.Path) {
 	for _, part := range path {
-		if !h.Dispatcher.paceDue(part.ID) || !h.reports.paces.Allow() {
+		if !h.Dispatcher.paceReportDue(part.ID) || !h.reports.paceLimiter.Allow() {
 			continue
 		}
-		go h.learnPace(part.ID, part.Address)
+		go h.refreshPace(part.ID, part.Address)
 	}
 }
 
-func (h *Handler) learnPace(id, address string) {
-	report, err := h.reports.get(context.Background(), address, paceAge)
+func (h *Handler) refreshPace(id, address string) {
+	report, err := h.reports.get(context.Background(), address, maxPaceReportAge)
 	h.signals.Take(Said{Server: id, Signals: report.Signals})
 	if err != nil {
-		// What doesn't answer is found by the streams that stall on it.
+		// Unresponsive servers are found by the streams that stall on them.
 		return
 	}
 	h.Dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Paced(now, id, report.Pace) })
 }
 
-// RunPaces asks slow servers again until ctx ends, so that they are used as soon as
-// they are as fast as before.
+// RunPaces refetches the paces of slow servers until ctx ends, so that they get requests again
+// as soon as they have recovered.
 func (h *Handler) RunPaces(ctx context.Context) error {
-	ticker := time.NewTicker(paceAge / 2)
+	ticker := time.NewTicker(maxPaceReportAge / 2)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			for _, server := range h.Dispatcher.slowDue() {
-				go h.learnPace(server.ID, server.Address)
+			for _, server := range h.Dispatcher.slowServersDue() {
+				go h.refreshPace(server.ID, server.Address)
 			}
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -14,122 +14,122 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// The bounds of lines on what servers ask for, which may change with each answer.
+// Limits of log lines on servers' signals, which may change with each response.
 const (
-	signalsPerSecond = 5
-	signalsBurst     = 20
+	signalLogsPerSecond = 5
+	signalLogBurst      = 20
 )
 
-// Signals takes what servers ask for in their answers to requests, reports and orders. It is
-// safe for concurrent use.
+// Signals applies what servers ask for in their responses to requests, reports and orders. It
+// is safe for concurrent use.
 type Signals struct {
 	log        logr.Logger
 	dispatcher *Dispatcher
-	lines      *rate.Limiter
+	logLimiter *rate.Limiter
 }
 
-// NewSignals makes a taker of signals for a dispatcher.
+// NewSignals returns the Signals of a dispatcher.
 func NewSignals(log logr.Logger, dispatcher *Dispatcher) *Signals {
-	return &Signals{log: log, dispatcher: dispatcher, lines: rate.NewLimiter(signalsPerSecond, signalsBurst)}
+	return &Signals{log: log, dispatcher: dispatcher, logLimiter: rate.NewLimiter(signalLogsPerSecond, signalLogBurst)}
 }
 
-// Said is what a server asked for in one answer.
+// Said is what a server asked for in one response.
 type Said struct {
-	// Server is the ID of the server that answered, and Blamed that of the server which it
-	// says is at fault; empty for itself.
-	Server, Blamed string
-	// Request is the request that was answered. Empty for none.
+	// Server is the ID of the server that responded, and Faulty that of the server which it
+	// reports as faulty; empty for itself.
+	Server, Faulty string
+	// Request is the ID of the request that was answered. Empty for none.
 	Request string
 	Signals backpressure.Signals
-	// Vouched says that the server vouches for the answer, so that what it doesn't ask for
-	// holds no more. Sent is when the request was sent, by bootclock.
-	Vouched bool
-	Sent    time.Duration
+	// Signed says that the response is valid and signed by the server, so that a limit which it
+	// doesn't repeat has ended. SentAt is when the request was sent, by bootclock.
+	Signed bool
+	SentAt time.Duration
 }
 
-// said is what the head of an attempt's answer asks for.
-func said(x *exchange, o *opened, answer Answer) Said {
-	said := Said{
-		Server: o.sent.First.ID, Request: x.call.ID, Signals: answer.Signals,
-		Vouched: !answer.NotRun && check(x, o.response, answer) == "", Sent: o.begun,
+// signalsOf returns the signals in the head of an attempt's response.
+func signalsOf(x *exchange, o *openAttempt, head Answer) Said {
+	received := Said{
+		Server: o.sentTo.First.ID, Request: x.call.ID, Signals: head.Signals,
+		Signed: !head.NotRun && validateHead(x, o.response, head) == "", SentAt: o.sentAt,
 	}
-	said.Blamed, _ = o.sent.At(answer.Blame)
+	received.Faulty, _ = o.sentTo.At(head.Blame)
 	if o.response.StatusCode == http.StatusMisdirectedRequest {
-		// Where another process answers, that which was meant is gone.
-		said.Signals = backpressure.Signals{Leaving: answer.Signals.Leaving}
+		// If another process responds, the server that was meant is gone.
+		received.Signals = backpressure.Signals{Leaving: head.Signals.Leaving}
 	}
-	return said
+	return received
 }
 
-// Take takes what a server asked for.
-func (s *Signals) Take(said Said) {
-	s.rate(said)
-	s.pause(said)
-	s.leaving(said)
+// Take applies what a server asked for.
+func (s *Signals) Take(received Said) {
+	s.applyRate(received)
+	s.applyPause(received)
+	s.applyLeaving(received)
 }
 
-// rate takes the rate that a server set. Only an answer that it vouches for ends a limit:
-// refusals, broken answers and reports need not name one.
-func (s *Signals) rate(said Said) {
-	perSecond := said.Signals.Rate()
-	if perSecond == ratelimit.Unlimited && !said.Vouched {
+// applyRate applies the rate that a server set. Only a valid signed response ends a limit:
+// refusals, broken responses and reports need not repeat it.
+func (s *Signals) applyRate(received Said) {
+	perSecond := received.Signals.Rate()
+	if perSecond == ratelimit.Unlimited && !received.Signed {
 		return
 	}
 	if math.IsNaN(perSecond) {
-		s.line(telemetry.RateUnread, said)
+		s.logEvent(telemetry.RateUnread, received)
 		return
 	}
-	var news bool
+	var changed bool
 	s.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) {
-		news = fleet.SaidRate(now, said.Sent, said.Server, perSecond)
+		changed = fleet.SaidRate(now, received.SentAt, received.Server, perSecond)
 	})
 	switch {
-	case !news:
+	case !changed:
 	case perSecond == ratelimit.Unlimited:
-		s.line(telemetry.RateEnded, said)
+		s.logEvent(telemetry.RateEnded, received)
 	default:
-		s.line(telemetry.RateSet, said, "perSecond", perSecond)
+		s.logEvent(telemetry.RateSet, received, "perSecond", perSecond)
 	}
 }
 
-// pause takes the pause that a server asked for. It is that of the server that answered, and of
-// the one at fault where it names another.
-func (s *Signals) pause(said Said) {
-	span := said.Signals.Pause
-	switch span {
+// applyPause applies the pause that a server asked for, to the server that responded and to the
+// faulty one if it names another.
+func (s *Signals) applyPause(received Said) {
+	pause := received.Signals.Pause
+	switch pause {
 	case 0:
 		return
 	case backpressure.Unread:
-		s.line(telemetry.PauseUnread, said)
+		s.logEvent(telemetry.PauseUnread, received)
 		return
 	}
-	var news bool
+	var changed bool
 	s.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) {
-		news = fleet.Pause(now, said.Server, span)
-		if said.Blamed != "" && said.Blamed != said.Server {
-			fleet.Pause(now, said.Blamed, span)
+		changed = fleet.Pause(now, received.Server, pause)
+		if received.Faulty != "" && received.Faulty != received.Server {
+			fleet.Pause(now, received.Faulty, pause)
 		}
 	})
-	if news {
-		s.line(telemetry.PauseAsked, said, "blamed", said.Blamed, "pauseMs", span.Milliseconds())
+	if changed {
+		s.logEvent(telemetry.PauseAsked, received, "blamed", received.Faulty, "pauseMs", pause.Milliseconds())
 	}
 }
 
-// leaving takes a server's word that it leaves.
-func (s *Signals) leaving(said Said) {
-	if !said.Signals.Leaving {
+// applyLeaving applies a server's announcement that it leaves.
+func (s *Signals) applyLeaving(received Said) {
+	if !received.Signals.Leaving {
 		return
 	}
-	var news bool
-	s.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { news = fleet.SaysLeaving(now, said.Server) })
-	if news {
-		s.line(telemetry.LeavingSaid, said)
+	var changed bool
+	s.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { changed = fleet.SaysLeaving(now, received.Server) })
+	if changed {
+		s.logEvent(telemetry.LeavingSaid, received)
 	}
 }
 
-// line writes a line on what a server asked for.
-func (s *Signals) line(event telemetry.Event, said Said, fields ...any) {
-	if s.lines.Allow() {
-		event.Log(s.log, append([]any{"server", said.Server, "request", said.Request}, fields...)...)
+// logEvent logs a change that a server asked for.
+func (s *Signals) logEvent(event telemetry.Event, received Said, fields ...any) {
+	if s.logLimiter.Allow() {
+		event.Log(s.log, append([]any{"server", received.Server, "request", received.Request}, fields...)...)
 	}
 }
--- a/internal/relay/signals_test.go
+++ b/internal/relay/signals_test.go
@@ -20,14 +20,15 @@
 	"oleandershunt.example/oleandershunt/platform"
 )
 
-// signalServer answers requests at once, and may ask for a pause or say that it leaves.
+// signalServer responds to requests at once, and may ask for a pause or announce that it
+// leaves.
 type signalServer struct {
 	mu sync.Mutex
-	// pause is what its refusals ask for, in seconds; empty where it takes requests.
+	// pause is the Retry-After of its refusals, in seconds; empty if it accepts requests.
 	pause string
-	// leaves says that its answers say so.
+	// leaves says that its responses announce that it leaves.
 	leaves bool
-	// arrived is when requests came.
+	// arrived holds the arrival times of requests.
 	arrived []time.Time
 }
 
@@ -50,14 +51,14 @@
 	_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 }
 
-// start lets the server listen.
+// start starts the server.
 func (s *signalServer) start(t *testing.T) *httptest.Server {
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
 	return server
 }
 
-// between counts the requests that came in a span after the first one.
+// between counts the requests that arrived more than from and at most to after the first one.
 func (s *signalServer) between(from, to time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +71,7 @@
 	return count
 }
 
-// signalRoutes are the kinds of requests, each with a service of its own.
+// signalRoutes returns a route for each kind of request.
 func signalRoutes() map[string]routes.Route {
 	route := func(repeat routes.Repeat, stream bool) routes.Route {
 		return routes.Route{
@@ -84,14 +85,14 @@
 	}
 }
 
-// signalFront is a VM before servers of a kind of requests. Streams go to a model's servers.
-func signalFront(t *testing.T, route routes.Route, servers ...*httptest.Server) *httptest.Server {
-	front, _, configure := frontOf(t, budget.Options{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second, VMs: 1}, route, serviceOf(route), servers...)
+// newSignalVM starts a VM before servers of a route's service.
+func newSignalVM(t *testing.T, route routes.Route, servers ...*httptest.Server) *httptest.Server {
+	vm, _, configure := newVM(t, budget.Options{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second, VMs: 1}, route, serviceOf(route), servers...)
 	configure()
-	return front
+	return vm
 }
 
-// serviceOf is the service of a route: a model's for streams.
+// serviceOf returns the service of a route: a model for streams.
 func serviceOf(route routes.Route) routes.Service {
 	service := routes.Service{Name: "llm"}
 	if route.Stream {
@@ -100,127 +101,130 @@
 	return service
 }
 
-// load sends so many requests a second to a VM for a time, and returns their answers.
-func load(g *WithT, front *httptest.Server, perSecond int, span time.Duration) []*http.Response {
+// load sends requests to a VM at a constant rate for span, and returns the responses.
+func load(g *WithT, vm *httptest.Server, perSecond int, span time.Duration) []*http.Response {
 	var callers sync.WaitGroup
-	answers := make([]*http.Response, int(span.Seconds()*float64(perSecond)))
-	for i := range answers {
-		callers.Go(func() { answers[i] = answerTo(g, front, fmt.Sprint("r", i)) })
+	responses := make([]*http.Response, int(span.Seconds()*float64(perSecond)))
+	for i := range responses {
+		callers.Go(func() { responses[i] = responseTo(g, vm, fmt.Sprint("r", i)) })
 		time.Sleep(time.Second / time.Duration(perSecond))
 	}
 	callers.Wait()
-	return answers
+	return responses
 }
 
-// statuses counts answers by status.
-func statuses(answers []*http.Response) map[int]int {
+// statuses counts responses by status.
+func statuses(responses []*http.Response) map[int]int {
 	counts := make(map[int]int)
-	for _, answer := range answers {
-		counts[answer.StatusCode]++
+	for _, response := range responses {
+		counts[response.StatusCode]++
 	}
 	return counts
 }
 
-// The rule on pauses: at most mostInPause requests from pauseGrace after the refusal on.
+// Limits on requests during a pause: at most maxInPause requests, counted from pauseGrace after
+// the first refusal.
 const (
-	pauseGrace  = 500 * time.Millisecond
-	mostInPause = 2
+	pauseGrace = 500 * time.Millisecond
+	maxInPause = 2
 )
 
-// Guards against: a server that asked for a pause goes on getting requests of the VM.
+// Guards against further requests of the VM to a server that asked for a pause.
 func TestAServerThatAsksForAPauseGetsNoMoreRequests(t *testing.T) {
 	for kind, route := range signalRoutes() {
 		for text, pause := range map[string]time.Duration{"3.2": 3200 * time.Millisecond, "1.5": 1500 * time.Millisecond} {
 			t.Run(kind+" for "+text, func(t *testing.T) {
 				t.Parallel()
 				g := NewWithT(t)
-				resting, free := &signalServer{pause: text}, &signalServer{}
-				front := signalFront(t, route, resting.start(t), free.start(t))
-				counts := statuses(load(g, front, 40, pause+200*time.Millisecond))
-				g.Expect(resting.between(pauseGrace, pause)).To(BeNumerically("<=", mostInPause))
+				paused, free := &signalServer{pause: text}, &signalServer{}
+				vm := newSignalVM(t, route, paused.start(t), free.start(t))
+				counts := statuses(load(g, vm, 40, pause+200*time.Millisecond))
+				g.Expect(paused.between(pauseGrace, pause)).To(BeNumerically("<=", maxInPause))
 				g.Expect(counts).To(Equal(map[int]int{http.StatusOK: counts[http.StatusOK]}), "another server is free")
 			})
 		}
 	}
 }
 
-// Guards against: a server that stands alone is offered requests in its pause, or callers wait for what can't be.
-func TestAServerAloneGetsNothingInItsPause(t *testing.T) {
+// Guards against requests to the only server during its pause, and callers that wait for the
+// pause to end.
+func TestTheOnlyServerGetsNoRequestsDuringItsPause(t *testing.T) {
 	for kind, route := range signalRoutes() {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			resting := &signalServer{pause: "2"}
-			front := signalFront(t, route, resting.start(t))
-			answerTo(g, front, "first")
-			asked := time.Now()
-			answers := load(g, front, 30, time.Second)
-			g.Expect(time.Since(asked)).To(BeNumerically("<", 1500*time.Millisecond), "they are told at once")
-			g.Expect(resting.between(pauseGrace, 2*time.Second)).To(BeNumerically("<=", mostInPause))
-			g.Expect(statuses(answers)).To(Equal(map[int]int{http.StatusServiceUnavailable: len(answers)}))
-			after, err := strconv.ParseFloat(answers[0].Header.Get("Retry-After"), 64)
+			paused := &signalServer{pause: "2"}
+			vm := newSignalVM(t, route, paused.start(t))
+			responseTo(g, vm, "first")
+			start := time.Now()
+			responses := load(g, vm, 30, time.Second)
+			g.Expect(time.Since(start)).To(BeNumerically("<", 1500*time.Millisecond), "refused at once")
+			g.Expect(paused.between(pauseGrace, 2*time.Second)).To(BeNumerically("<=", maxInPause))
+			g.Expect(statuses(responses)).To(Equal(map[int]int{http.StatusServiceUnavailable: len(responses)}))
+			retryAfter, err := strconv.ParseFloat(responses[0].Header.Get("Retry-After"), 64)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(after).To(BeNumerically("~", 1.9, 0.2), "when the pause ends")
+			g.Expect(retryAfter).To(BeNumerically("~", 1.9, 0.2), "when the pause ends")
 		})
 	}
 }
 
-// Guards against: a server that says that it leaves goes on getting requests of the VM.
-func TestAServerThatSaysThatItLeavesGetsNoMoreRequests(t *testing.T) {
+// Guards against further requests of the VM to a server that announced that it leaves.
+func TestALeavingServerGetsNoMoreRequests(t *testing.T) {
 	for kind, route := range signalRoutes() {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			leaving, free := &signalServer{leaves: true}, &signalServer{}
-			front := signalFront(t, route, leaving.start(t), free.start(t))
-			answers := load(g, front, 40, 1500*time.Millisecond)
+			vm := newSignalVM(t, route, leaving.start(t), free.start(t))
+			responses := load(g, vm, 40, 1500*time.Millisecond)
 			g.Expect(leaving.between(pauseGrace, time.Hour)).To(BeZero())
-			g.Expect(statuses(answers)).To(Equal(map[int]int{http.StatusOK: len(answers)}))
+			g.Expect(statuses(responses)).To(Equal(map[int]int{http.StatusOK: len(responses)}))
 		})
 	}
 }
 
-// lateWire has something happen between the choice of a server and the moment at which the
-// request is written.
-type lateWire struct {
+// hookedWire calls between after the choice of a server and before the request is written.
+type hookedWire struct {
 	platform.Requests
 	between func(attempt relay.Attempt)
 }
 
-func (w lateWire) Write(header http.Header, attempt relay.Attempt) {
+func (w hookedWire) Write(header http.Header, attempt relay.Attempt) {
 	w.between(attempt)
 	w.Requests.Write(header, attempt)
 }
 
-// Guards against: a request reaches a server that asked for a pause, or said that it leaves, before it was written.
-func TestARequestIsNotSentToAServerThatWantsNoneAnyMore(t *testing.T) {
-	words := map[string]func(now time.Duration, fleet *backends.Fleet){
+// Guards against sending a request to a server that asked for a pause or announced that it
+// leaves after it was chosen and before the request was written.
+func TestAnAttemptOnAPausedOrLeavingServerIsWithheld(t *testing.T) {
+	signals := map[string]func(now time.Duration, fleet *backends.Fleet){
 		"pause":   func(now time.Duration, fleet *backends.Fleet) { fleet.Pause(now, "s1", time.Minute) },
 		"leaving": func(now time.Duration, fleet *backends.Fleet) { fleet.SaysLeaving(now, "s1") },
 	}
-	for word, said := range words {
+	for signal, apply := range signals {
 		for kind, route := range signalRoutes() {
-			t.Run(word+" "+kind, func(t *testing.T) {
+			t.Run(signal+" "+kind, func(t *testing.T) {
 				g := NewWithT(t)
-				unwilling, free := &signalServer{}, &signalServer{}
+				unavailable, free := &signalServer{}, &signalServer{}
 				var d *relay.Dispatcher
-				wire := lateWire{between: func(attempt relay.Attempt) {
+				wire := hookedWire{between: func(attempt relay.Attempt) {
 					if attempt.Server == "s1" {
-						d.Fleet(said)
+						d.Fleet(apply)
 					}
 				}}
-				front, dispatcher, configure := frontWith(t, wire, budget.Options{Window: 10 * time.Second, VMs: 1}, route, serviceOf(route), unwilling.start(t), free.start(t))
+				vm, dispatcher, configure := newVMWithWire(t, wire, budget.Options{Window: 10 * time.Second, VMs: 1}, route, serviceOf(route), unavailable.start(t), free.start(t))
 				d = dispatcher
 				configure()
-				g.Expect(statuses(load(g, front, 20, 300*time.Millisecond))).To(Equal(map[int]int{http.StatusOK: 6}), "no repeat is taken for it")
-				g.Expect(unwilling.arrived).To(BeEmpty())
+				g.Expect(statuses(load(g, vm, 20, 300*time.Millisecond))).To(Equal(map[int]int{http.StatusOK: 6}), "withheld attempts take no retry")
+				g.Expect(unavailable.arrived).To(BeEmpty())
 			})
 		}
 	}
 }
 
-// Guards against: a request runs on more servers than its route allows, since one of them says that it leaves.
-func TestALeavingServerThatAnsweredCountsAsOneThatRanTheRequest(t *testing.T) {
+// Guards against running a request on more servers than its route allows because some of them
+// announce that they leave.
+func TestALeavingServerCountsTowardsTheAttempts(t *testing.T) {
 	g := NewWithT(t)
 	route := signalRoutes()["safe"]
 	route.Attempts = 2
@@ -238,6 +242,6 @@
 		t.Cleanup(server.Close)
 		servers = append(servers, server)
 	}
-	g.Expect(ask(g, signalFront(t, route, servers...), "r1")).To(Equal(http.StatusInternalServerError))
+	g.Expect(statusOf(g, newSignalVM(t, route, servers...), "r1")).To(Equal(http.StatusInternalServerError))
 	g.Expect(ran.Load()).To(BeEquivalentTo(2))
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -14,15 +14,15 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// The figures of a stream.
+// Limits of a stream.
 const (
-	// readBytes is how much of a stream is read at once; an event has about 100.
-	readBytes = 4 << 10
+	// readBufferBytes is the size of the read buffer of a stream; an event has about 100 bytes.
+	readBufferBytes = 4 << 10
 )
 
-// stream serves a request whose answer is a stream of events.
-func (h *Handler) stream(x *exchange) {
-	wait := waitsFor(x)
+// serveStream serves a request whose response is a stream of events.
+func (h *Handler) serveStream(x *exchange) {
+	wait := remainingWaits(x)
 	reason, started := ReasonNoServer, false
 	for {
 		o, err := h.choose(x, wait)
@@ -30,135 +30,135 @@
 			h.abandon(x, started, reason)
 			return
 		}
-		last, done := h.attemptStream(x, o, &started)
+		result, done := h.attemptStream(x, o, &started)
 		o.close(h.Dispatcher)
-		if done && last != answered {
-			// The caller left, or closed its side only: its answer must not end as a
-			// whole one does.
+		if done && result != responded {
+			// The caller disconnected or only closed its side: its response must not end like a
+			// complete one.
 			panic(http.ErrAbortHandler)
 		}
 		if done {
 			return
 		}
-		if last == unsent {
+		if result == unsent {
 			continue
 		}
-		reason = reasonOf(last)
-		if !h.mayRepeat(x, last) {
+		reason = refusalReason(result)
+		if !h.mayRetry(x, result) {
 			h.abandon(x, started, reason)
 			return
 		}
-		if wait = waitsFor(x); !started {
-			wait.server = 0
+		if wait = remainingWaits(x); !started {
+			wait.path = 0
 		}
 		metrics.GetOrCreateCounter("oleandershunt_relay_resumed_total").Inc()
 	}
 }
 
-// abandon ends a request that could not be finished. An answer that has begun
-// is cut so that it can't be taken for whole.
+// abandon ends a request that could not be completed. A response that has begun is aborted so
+// that it can't be mistaken for a complete one.
 func (h *Handler) abandon(x *exchange, started bool, reason Reason) {
 	if !started {
-		h.refuse(x, x.giveUp(reason))
+		h.refuse(x, x.finalRefusal(reason))
 		return
 	}
-	if h.left(x, context.Cause(x.ctx)) {
+	if h.callerLeft(x, context.Cause(x.ctx)) {
 		panic(http.ErrAbortHandler)
 	}
-	telemetry.RelayCut.Log(h.Log, append(x.fields(), "reason", reason, "detail", x.detail, "after", x.after, "cause", telemetry.Cause(context.Cause(x.ctx)))...)
+	telemetry.RelayCut.Log(h.Log, append(x.logFields(), "reason", reason, "detail", x.detail, "after", x.after, "cause", telemetry.Cause(context.Cause(x.ctx)))...)
 	metrics.GetOrCreateCounter("oleandershunt_relay_cut_total").Inc()
 	panic(http.ErrAbortHandler)
 }
 
-// attemptStream sends the request and passes events on until the stream ends or
-// breaks. done says that nothing more is to be done.
-func (h *Handler) attemptStream(x *exchange, o *opened, started *bool) (last fate, done bool) {
-	h.watch(x, o)
-	defer o.settle()
-	if result := h.send(x, o); result != answered {
+// attemptStream sends the request and forwards events until the stream ends or breaks. done
+// says that no further attempt is needed.
+func (h *Handler) attemptStream(x *exchange, o *openAttempt, started *bool) (end outcome, done bool) {
+	h.startWatchdog(x, o)
+	defer o.stopWatchdog()
+	if result := h.send(x, o); result != responded {
 		return result, false
 	}
 	if o.response.StatusCode != http.StatusOK {
-		return h.streamFailed(x, o, *started)
+		return h.handleStreamFailure(x, o, *started)
 	}
 	if !*started {
-		copyHead(x.w.Header(), o.response.Header)
+		copyHeaders(x.w.Header(), o.response.Header)
 		x.w.WriteHeader(http.StatusOK)
 		*started = true
 	}
-	err := h.pump(x, o)
-	o.settle()
+	err := h.forwardEvents(x, o)
+	o.stopWatchdog()
 	if err == nil {
-		h.ended(x, o, http.StatusOK)
-		return answered, true
+		h.recordCompleted(x, o, http.StatusOK)
+		return responded, true
 	}
-	if h.left(x, err) || errors.Is(err, errCallerGone) {
+	if h.callerLeft(x, err) || errors.Is(err, errCallerGone) {
 		return uncertain, true
 	}
-	h.failedBody(x, o, err)
-	if !errors.Is(err, errTorn) && !errors.Is(err, errBadEvents) {
-		h.brokeOff(x, o, err)
+	h.logFailedResponse(x, o, err)
+	if !errors.Is(err, errTruncatedEvent) && !errors.Is(err, errBadEvents) {
+		h.recordBrokenConnection(x, o, err)
 	}
-	x.failed(o.choice)
+	x.recordFailure(o.choice)
 	return uncertain, false
 }
 
-// streamFailed handles a server's own failure: tried again once where the
-// request may be repeated, else passed on.
-func (h *Handler) streamFailed(x *exchange, o *opened, started bool) (fate, bool) {
-	body, err := io.ReadAll(io.LimitReader(o.response.Body, answerBound))
-	o.settle()
-	if x.route.Repeat != routes.Once && h.mayRunElsewhere(x, append(x.ran, o.choice.First.ID)) || started || err != nil {
-		h.failedBody(x, o, err)
-		x.failed(o.choice)
+// handleStreamFailure handles a server's own failure: it is retried once where the request may
+// be repeated, otherwise forwarded.
+func (h *Handler) handleStreamFailure(x *exchange, o *openAttempt, started bool) (outcome, bool) {
+	body, err := io.ReadAll(io.LimitReader(o.response.Body, maxBufferedResponse))
+	o.stopWatchdog()
+	if x.route.Repeat != routes.Once && h.mayRunElsewhere(x, append(x.ranOn, o.choice.First.ID)) || started || err != nil {
+		h.logFailedResponse(x, o, err)
+		x.recordFailure(o.choice)
 		return uncertain, false
 	}
-	h.answer(x, o, body)
-	return answered, true
+	h.writeResponse(x, o, body)
+	return responded, true
 }
 
-// failedBody notes an answer that broke off or failed.
-func (h *Handler) failedBody(x *exchange, o *opened, err error) {
-	telemetry.RelayAttemptFailed.Log(h.Log, append(x.fields(), "server", o.choice.First.ID,
+// logFailedResponse logs a response that broke off or failed.
+func (h *Handler) logFailedResponse(x *exchange, o *openAttempt, err error) {
+	telemetry.RelayAttemptFailed.Log(h.Log, append(x.logFields(), "server", o.choice.First.ID,
 		"status", o.response.StatusCode, "after", x.after, "cause", telemetry.Cause(err), "why", telemetry.Cause(context.Cause(o.ctx)))...)
 }
 
 var (
-	// errCallerGone marks an answer that the caller doesn't take any more.
+	// errCallerGone marks a response that can't be written to the caller any more.
 	errCallerGone = errors.New("caller left")
-	// errTorn marks a stream that ended inside an event.
-	errTorn = errors.New("stream ended inside an event")
-	// errBadEvents marks a stream whose events can't be passed on.
+	// errTruncatedEvent marks a stream that ended inside an event.
+	errTruncatedEvent = errors.New("stream ended inside an event")
+	// errBadEvents marks a stream whose events can't be forwarded.
 	errBadEvents = errors.New("events are not in order")
 )
 
-// pump passes whole events on as they come.
-func (h *Handler) pump(x *exchange, o *opened) error {
+// forwardEvents forwards complete events as they arrive.
+func (h *Handler) forwardEvents(x *exchange, o *openAttempt) error {
 	flusher := http.NewResponseController(x.w)
-	events := newEvents(x.after)
-	buffer := make([]byte, readBytes)
+	events := newEventSplitter(x.after)
+	buffer := make([]byte, readBufferBytes)
 	for {
 		n, readErr := o.response.Body.Read(buffer)
-		whole, err := events.take(buffer[:n])
+		complete, err := events.feed(buffer[:n])
 		if err != nil {
 			return fmt.Errorf("%w: %w", errBadEvents, err)
 		}
-		if len(whole) > 0 {
-			o.progress()
-			begun := time.Now()
-			if _, err := x.w.Write(whole); err != nil {
+		if len(complete) > 0 {
+			o.recordProgress()
+			start := time.Now()
+			if _, err := x.w.Write(complete); err != nil {
 				return fmt.Errorf("%w: %w", errCallerGone, err)
 			}
 			if err := flusher.Flush(); err != nil {
 				return fmt.Errorf("%w: %w", errCallerGone, err)
 			}
-			x.timing.passed(x.start, time.Since(begun))
-			x.events += events.passed
+			x.timing.recordDelivery(x.start, time.Since(start))
+			x.events += events.returned
 			x.after = events.last
 		}
 		switch {
-		case readErr == io.EOF && events.partial():
-			return errTorn
+		case readErr == io.EOF && events.hasPartial():
+			return errTruncatedEvent
 		case readErr == io.EOF:
 			return nil
 		case readErr != nil:
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -11,109 +11,108 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// watchdog looks after one attempt of a stream: when its path is silent because a
-// server inside it is, the request moves to another path, or the attempt ends so
-// that it is resumed.
+// watchdog monitors one attempt of a stream. When its path is silent because a server on it is
+// unresponsive, the request moves to another path, or the attempt ends so that it is resumed.
 //
-// What can go wrong: a server dies without a word. Those before it on the path
-// wait for it, the caller sees a silence and leaves after two seconds, and the
-// platform misses the server only later. One notices many streams that stall
-// together.
+// What can go wrong: a server fails silently. The servers before it on the path wait for it,
+// the caller disconnects after two seconds without an event, and the platform detects the
+// failure only later. The symptom is many streams that stall together.
 type watchdog struct {
 	h *Handler
 	x *exchange
-	o *opened
+	o *openAttempt
 
 	mu    sync.Mutex
 	timer *time.Timer
 	ended bool
-	// moving says that a move is under way.
+	// moving says that a move is in progress.
 	moving bool
-	// heard is when the attempt began, moved or brought its last event.
-	heard time.Time
-	// request is what is asked of a path, without the servers that failed the request
-	// before; ran lists those that ran it, and sends counts the attempts up to this one.
-	// They are as they were when the attempt began: the exchange isn't the watch's.
+	// lastActivity is when the attempt began, moved or delivered its last event.
+	lastActivity time.Time
+	// request describes the path that is needed, without the servers that failed the request
+	// before; ranOn lists the servers that ran it, and sends counts the attempts including this
+	// one. They are copies from the beginning of the attempt, as the exchange belongs to the
+	// request's goroutine.
 	request backends.Request
-	ran     []string
+	ranOn   []string
 	sends   int
-	// blamed lists the servers for which the attempt was moved or ended.
-	blamed []string
-	// reserved says that the attempt was ended with a repeat in hand, and waits that it
-	// goes on because there was none, or no way to go.
-	reserved, waits bool
+	// faulty lists the servers for which the attempt was moved or ended.
+	faulty []string
+	// retryReserved says that the attempt was ended with a retry reserved. waitLogged says that
+	// the log has a line on the attempt continuing because there was no retry or no other path.
+	retryReserved, waitLogged bool
 }
 
-// watches are the attempts that are being watched.
-type watches struct {
-	mu  sync.Mutex
-	all map[*watchdog]struct{}
+// watchdogSet is the set of active watchdogs.
+type watchdogSet struct {
+	mu      sync.Mutex
+	members map[*watchdog]struct{}
 }
 
-func (w *watches) add(dog *watchdog) {
+func (w *watchdogSet) add(d *watchdog) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.all[dog] = struct{}{}
+	w.members[d] = struct{}{}
 }
 
-func (w *watches) remove(dog *watchdog) {
+func (w *watchdogSet) remove(d *watchdog) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.all, dog)
+	delete(w.members, d)
 }
 
-func (w *watches) list() []*watchdog {
+func (w *watchdogSet) list() []*watchdog {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	list := make([]*watchdog, 0, len(w.all))
-	for dog := range w.all {
-		list = append(list, dog)
+	list := make([]*watchdog, 0, len(w.members))
+	for d := range w.members {
+		list = append(list, d)
 	}
 	return list
 }
 
-// watch starts looking at an attempt. Requests that may not run twice, and services
-// whose servers make no reports, are left to their servers' and callers' time limits.
+// startWatchdog starts monitoring an attempt. Requests that may not run twice and services
+// whose servers make no reports rely on the time limits of their servers and callers.
 //
-// What can go wrong: the watch shares what the request's own goroutine writes. A list of
-// servers to avoid is torn, or a timer that fires at once finds no timer, and the stream is
-// never looked at again.
-func (h *Handler) watch(x *exchange, o *opened) {
+// What can go wrong: the watchdog shares state with the request's own goroutine. Without copies
+// and the lock, the list of servers to avoid is corrupted by a data race, or a timer that fires
+// at once finds no timer to reset and the stream is never checked again.
+func (h *Handler) startWatchdog(x *exchange, o *openAttempt) {
 	if x.route.Repeat != routes.Resumable || x.service.Engine == nil || h.Patience <= 0 {
 		return
 	}
-	w := &watchdog{h: h, x: x, o: o, heard: time.Now(), request: h.request(x), ran: slices.Clone(x.ran), sends: x.sends + 1}
+	w := &watchdog{h: h, x: x, o: o, lastActivity: time.Now(), request: h.choiceRequest(x), ranOn: slices.Clone(x.ranOn), sends: x.sends + 1}
 	w.request.Avoid, w.request.Only = slices.Clone(x.avoid), nil
-	o.watch = w
+	o.watchdog = w
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(h.firstPatience(x), w.look)
-	h.watches.add(w)
+	w.timer = time.AfterFunc(h.firstEventTimeout(x), w.inspect)
+	h.watchdogs.add(w)
 }
 
-// Lost says that a server doesn't answer, as this VM or another one found. What
-// runs through it moves at once: waiting for each stream's own silence would cost
-// each of them that time. sure says that another server found it, not only this VM.
-func (h *Handler) Lost(id string, sure bool) {
-	h.Dispatcher.lost(id, sure)
-	for _, w := range h.watches.list() {
+// Lost records that a server doesn't respond, as found by this VM or another one, and moves all
+// streams on it at once: waiting for each stream's own stall would add that time to each of
+// them. confirmed says that another server found it unresponsive, not only this VM.
+func (h *Handler) Lost(id string, confirmed bool) {
+	h.Dispatcher.markUnresponsive(id, confirmed)
+	for _, w := range h.watchdogs.list() {
 		if w.uses(id) {
 			go w.move(id)
 		}
 	}
 }
 
-// latePart is the part of the target after which a first event is late enough to
-// look for the cause.
-const latePart = 0.5
+// firstEventShare is the share of the latency target after which a missing first event is late
+// enough to look for the cause.
+const firstEventShare = 0.5
 
-// firstPatience is how long the first event is waited for before the path is looked
-// into: half of the target, so that there is time to do something about it.
-func (h *Handler) firstPatience(x *exchange) time.Duration {
+// firstEventTimeout returns how long to wait for the first event before checking the path: half
+// of the target, so that there is time left to react.
+func (h *Handler) firstEventTimeout(x *exchange) time.Duration {
 	if x.route.Target <= 0 {
 		return h.Patience
 	}
-	return min(h.Patience, time.Duration(latePart*float64(x.route.Target)))
+	return min(h.Patience, time.Duration(firstEventShare*float64(x.route.Target)))
 }
 
 func (w *watchdog) uses(id string) bool {
@@ -122,28 +121,28 @@
 	return !w.ended && slices.ContainsFunc(w.o.choice.Path, func(part chain.Part) bool { return part.ID == id })
 }
 
-func (w *watchdog) progress() {
+func (w *watchdog) recordProgress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.heard = time.Now()
-	w.lookAfter(w.h.Patience)
+	w.lastActivity = time.Now()
+	w.resetTimerLocked(w.h.Patience)
 }
 
-func (w *watchdog) again(after time.Duration) {
+func (w *watchdog) resetTimer(delay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lookAfter(after)
+	w.resetTimerLocked(delay)
 }
 
-// lookAfter must be called with the lock held.
-func (w *watchdog) lookAfter(span time.Duration) {
+// resetTimerLocked must be called with the lock held.
+func (w *watchdog) resetTimerLocked(delay time.Duration) {
 	if !w.ended {
-		w.timer.Reset(span)
+		w.timer.Reset(delay)
 	}
 }
 
-// stop ends the watch and has the request avoid the servers that were to blame. Only the
-// request's own goroutine may call it.
+// stop stops the watchdog and makes the request avoid the faulty servers. It may only be called
+// by the request's own goroutine.
 func (w *watchdog) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -152,78 +151,78 @@
 	}
 	w.ended = true
 	w.timer.Stop()
-	w.h.watches.remove(w)
-	w.x.avoid = append(w.x.avoid, w.blamed...)
-	w.x.reserved = w.reserved
+	w.h.watchdogs.remove(w)
+	w.x.avoid = append(w.x.avoid, w.faulty...)
+	w.x.retryReserved = w.retryReserved
 }
 
-// look asks the first server what the request waits for.
-func (w *watchdog) look() {
+// inspect asks the first server of the path which server the request waits for.
+func (w *watchdog) inspect() {
 	w.mu.Lock()
 	first, path := w.o.choice.First, w.o.choice.Path
 	w.mu.Unlock()
-	report, err := w.h.reports.get(w.o.ctx, first.Address, stallAge)
+	report, err := w.h.reports.get(w.o.ctx, first.Address, maxStallReportAge)
 	w.h.signals.Take(Said{Server: first.ID, Request: w.x.call.ID, Signals: report.Signals})
 	if w.o.ctx.Err() != nil {
 		return
 	}
-	blamed, ok := first.ID, true
+	faulty, ok := first.ID, true
 	if err == nil {
-		blamed, ok = w.waitsFor(report)
+		faulty, ok = w.stalledServer(report)
 	}
-	if !ok && w.answerLost(report) {
-		w.giveUp(first.ID)
+	if !ok && w.responseLost(report) {
+		w.endLostResponse(first.ID)
 		return
 	}
 	if !ok {
-		w.h.learnPaces(path)
-		w.again(w.h.Patience / 2)
+		w.h.refreshPaces(path)
+		w.resetTimer(w.h.Patience / 2)
 		return
 	}
-	telemetry.RelayStalled.Log(w.h.Log, "request", w.x.call.ID, "first", first.ID, "blamed", blamed, "cause", telemetry.Cause(err))
+	telemetry.RelayStalled.Log(w.h.Log, "request", w.x.call.ID, "first", first.ID, "blamed", faulty, "cause", telemetry.Cause(err))
 	if err == nil && w.h.Found != nil {
-		// Only a server's own word is passed on: silence towards this VM may be the
-		// fault of its own links.
-		w.h.Found(blamed)
+		// Only what a server reports is shared with other VMs: a failed connection of this VM
+		// may be caused by its own network.
+		w.h.Found(faulty)
 	}
-	w.h.Lost(blamed, err == nil)
+	w.h.Lost(faulty, err == nil)
 }
 
-// lostAfter is the silence after which an answer counts as lost, if its request waits
-// for nothing: the first event takes 30 to 100 ms, and callers leave after 2 s. On a
-// path with a slow server it is longer by that server's pace.
-const lostAfter = 800 * time.Millisecond
+// responseLostTimeout is the silence after which a response counts as lost if its request waits
+// for no server: the first event takes 30 to 100 ms, and callers disconnect after 2 s. On a
+// path with a slow server it is multiplied by that server's pace.
+const responseLostTimeout = 800 * time.Millisecond
 
-// suspectMute keeps new requests off a server whose answer was lost.
-const suspectMute = time.Second
+// suspectAfterLostResponse keeps new requests off a server whose response was lost.
+const suspectAfterLostResponse = time.Second
 
-// answerLost tells whether an answer won't come any more.
+// responseLost reports whether the response must be considered lost.
 //
-// What can go wrong: a server runs a request and its answer is lost on the way, without
-// a reset; or it takes requests and answers none. The first server's report names
-// nobody that is waited for. One notices a stream that is silent while nothing is queued.
-func (w *watchdog) answerLost(report Report) bool {
+// What can go wrong: a server runs a request and its response is lost without a connection
+// reset, or the server accepts requests and never responds. The first server's report then
+// names no server that is waited for. The symptom is a silent stream while nothing is queued.
+func (w *watchdog) responseLost(report Report) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	wait := float64(min(lostAfter, 2*w.h.Patience)) * w.h.Dispatcher.slowest(w.o.choice.Path)
-	return report.Queued == 0 && time.Since(w.heard) >= time.Duration(wait)
+	wait := float64(min(responseLostTimeout, 2*w.h.Patience)) * w.h.Dispatcher.maxPace(w.o.choice.Path)
+	return report.Queued == 0 && time.Since(w.lastActivity) >= time.Duration(wait)
 }
 
-// giveUp ends the attempt, so that it is resumed elsewhere.
-func (w *watchdog) giveUp(first string) {
-	w.h.Dispatcher.suspect(first, suspectMute)
+// endLostResponse ends the attempt so that it is resumed elsewhere.
+func (w *watchdog) endLostResponse(first string) {
+	w.h.Dispatcher.suspect(first, suspectAfterLostResponse)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.ended && w.leave() {
-		w.blamed = append(w.blamed, first)
+	if !w.ended && w.endForResumeLocked() {
+		w.faulty = append(w.faulty, first)
 		telemetry.RelayAnswerLost.Log(w.h.Log, "request", w.x.call.ID, "first", first)
 	}
 }
 
-// waitsFor is the server on the path that the request waits for, by the report of
-// the first one. A report is older than a move may be: it then names a server
-// that is not on the path any more, which says nothing about those that are.
-func (w *watchdog) waitsFor(report Report) (string, bool) {
+// stalledServer returns the server on the path that the request waits for, according to the
+// first server's report. After a move the report may be stale and name a server that isn't on
+// the path any more; that is no evidence about the servers that are.
+func (w *watchdog) stalledServer(report Report) (string, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	address, stalled := report.Stalled[w.x.call.ID]
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -1,7 +1,7 @@
-// Package relay forwards opaque requests to backend servers and their answers
-// back, unchanged. It attempts, repeats and resumes; which server or path an
-// attempt takes is chosen by internal/core/backends, and how messages are
-// written on the wire by a Wire.
+// Package relay forwards requests to backend servers and their responses back, unchanged and
+// without interpreting them. It makes attempts, retries requests and resumes streams.
+// internal/core/backends chooses the server or path of each attempt, and a Wire reads and
+// writes the protocol's headers.
 package relay
 
 import (
@@ -14,96 +14,98 @@
 	"oleandershunt.example/oleandershunt/internal/core/chain"
 )
 
-// Call is what a caller's request says of itself.
+// Call holds the headers of a caller's request.
 type Call struct {
-	// ID is the caller's own name of the request.
+	// ID is the request ID set by the caller.
 	ID string
-	// Key is the caller's key. Empty when it has none.
+	// Key is the caller's API key. Empty if it has none.
 	Key string
-	// Wait is how long the caller waits. 0 when it doesn't say.
+	// Wait is the caller's timeout. 0 if it sets none.
 	Wait time.Duration
-	// Prompt, Answer and Hint are lengths in tokens, set when a model is asked for:
-	// what is read, the most that is written, and the caller's own estimate of that.
+	// Prompt, Answer and Hint are lengths in tokens of a request to a model: the prompt, the
+	// maximum of the response, and the caller's own estimate of the response.
 	Prompt, Answer, Hint int
-	// After is the ID of the last event that the caller has. Empty for all.
+	// After is the ID of the last event that the caller has received. Empty for all events.
 	After string
 }
 
-// Attempt is what a backend server is told beside the caller's own words.
+// Attempt holds the headers that are added to a request for a backend server.
 type Attempt struct {
-	// Left is how long the caller still waits. 0 when it doesn't say.
+	// Left is the remaining time of the caller. 0 if it set no timeout.
 	Left time.Duration
-	// Server is the process that must take it.
+	// Server is the name of the server process that must take the request.
 	Server string
-	// Account is the client account. Empty when the request had no key.
+	// Account is the client account. Empty if the request had no key.
 	Account string
 	// Path is set for requests to a model.
 	Path chain.Path
 	// Priority is 0 for the most urgent requests.
 	Priority int
-	// After is the ID of the last event that was delivered. Empty for all.
+	// After is the ID of the last delivered event. Empty for all events.
 	After string
 }
 
-// Answer is what the head of a backend server's answer says.
+// Answer holds the head of a backend server's response.
 type Answer struct {
-	// ID is the request that it answers.
+	// ID is the ID of the request that it responds to.
 	ID string
 	// NotRun says that the server did not run the request and won't.
 	NotRun bool
-	// Signed says that the server vouches for the answer.
+	// Signed says that the response carries the server's seal.
 	Signed bool
-	// Blame is the address of the server on the path that is at fault. Empty
-	// when it is the first one, or unknown.
+	// Blame is the address of the faulty server on the path. Empty if it is the first one, or
+	// unknown.
 	Blame string
-	// Signals are what the server asks of this VM, whatever became of the request.
+	// Signals are what the server asks of this VM, regardless of the request's outcome.
 	Signals backpressure.Signals
 }
 
-// Wire translates messages. It decides nothing.
+// Wire translates between HTTP headers and the types of this package. It makes no decisions.
 type Wire interface {
-	// Read takes the head of a caller's request apart.
+	// Read reads the head of a caller's request.
 	Read(*http.Request) Call
-	// Write sets the headers of an attempt on those of the caller.
+	// Write adds the headers of an attempt to those of the caller.
 	Write(http.Header, Attempt)
-	// Answer reads the head of a backend server's answer.
+	// Answer reads the head of a backend server's response.
 	Answer(*http.Response) Answer
 }
 
-// Report is what a model server says of itself.
+// Report is the status that a model server reports.
 type Report struct {
-	// Orders counts the orders that it took since it started.
+	// Orders is the number of orders that the server has accepted since it started.
 	Orders uint64
-	// Started is when it started, in Unix milliseconds. 0 where it doesn't say.
+	// Started is when the server process started, in Unix milliseconds. 0 if unknown.
 	Started uint64
-	// Busy says that an order is being carried out.
+	// Busy says that an order is in progress.
 	Busy bool
-	// Layers is the range held. Empty when it holds none.
+	// Layers is the range of layers loaded. Empty if there is none.
 	Layers api.Layers
-	// Stalled gives, by request, the address of the server that it waits for.
+	// Stalled maps the ID of each stalled request to the address of the server that it waits
+	// for.
 	Stalled map[string]string
-	// Queued is the number of requests that wait for their turn.
+	// Queued is the number of queued requests.
 	Queued int
-	// Pace is how many times as long as usual the server takes. 0 when it doesn't say.
+	// Pace is the slowdown factor: 2 means twice the usual time. 0 if unknown.
 	Pace float64
-	// Signals are what the server asks of this VM, also where the report can't be had.
+	// Signals are what the server asks of this VM. They are set even if the report could not be
+	// fetched.
 	Signals backpressure.Signals
 }
 
-// Order tells a model server which layers to hold.
+// Order instructs a model server which layers to load.
 type Order struct {
-	// Orders is the count of orders that the server must have taken so far.
+	// Orders is the number of orders that the server must have accepted so far.
 	Orders uint64
 	Layers api.Layers
 }
 
-// Engines talks to model servers beside the requests. What a server asks of this VM is returned
-// with an error, too.
+// Engines is the control interface of model servers. Its methods return the server's signals
+// even with an error.
 type Engines interface {
 	Report(ctx context.Context, address string) (Report, error)
-	// Place gives an order. A nil error means that it is carried out, or was.
+	// Place sends an order. A nil error means that the order is or was carried out.
 	Place(ctx context.Context, address, server string, order Order) (backpressure.Signals, error)
-	// Repath moves a running request to another path that begins with the same
-	// part. The new parts read what the request has so far; the others keep it.
+	// Repath moves a running request to another path that begins with the same part. Servers
+	// new on the path read the request's state so far; the others keep it.
 	Repath(ctx context.Context, address, server, request string, path chain.Path) (backpressure.Signals, error)
 }
