--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,8 +1,8 @@
-// Package core is the decision machine of one VM. It does no I/O, reads no
-// clock and starts no goroutine: typed events go in with the time, typed
-// actions come out, and the same events always give the same actions. That
-// property lets a recorded trace be replayed against stated outcomes, and lets
-// an operator be told why a decision was taken.
+// Package core is the deterministic state machine that makes one VM's decisions.
+// It does no I/O, reads no clock and starts no goroutine: its input is typed
+// events with their time, its output typed actions, and equal inputs always give
+// equal outputs. A recorded trace can therefore be replayed and checked against
+// expected outcomes, and each decision can be explained to an operator.
 package core
 
 import (
@@ -13,73 +13,76 @@
 	"oleandershunt.example/oleandershunt/internal/core/route"
 )
 
-// Time is a point on the VM's monotonic clock, counted from the start of its process.
+// Time is a reading of the VM's monotonic clock, counted from the start of its process.
 type Time = time.Duration
 
-// Event is something that happened outside the core.
+// Event is an input of the core: something that happened outside it.
 type Event interface {
 	// EventName is the event's name in recorded traces.
 	EventName() string
 }
 
-// Action is something that the core asks its VM to do.
+// Action is an output of the core: something that the VM is to do.
 type Action interface {
 	// ActionName is the action's name in recorded traces.
 	ActionName() string
 }
 
-// Options are the settings of a machine. They are part of a trace's head,
-// since a replay under other settings may decide otherwise.
+// Options are the settings of a Machine. They are recorded in a trace's header,
+// since a replay with other settings may reach other decisions.
 type Options struct {
-	// VM is this VM's name: the witness of its own probes.
+	// VM is this VM's name. It is the Witness of events from its own probes.
 	VM string `json:"vm,omitempty"`
-	// DataCentre is where the VM stands.
+	// DataCentre is the data centre of the VM.
 	DataCentre string `json:"dataCentre"`
-	// Policy selects how paths are drawn.
+	// Policy selects how paths are chosen.
 	Policy route.Policy `json:"policy"`
-	// Seed starts the machine's random numbers.
+	// Seed initialises the machine's random number generator.
 	Seed uint64 `json:"seed"`
-	// MaxAttempts bounds the dispatches of one request.
+	// MaxAttempts limits the attempts of one request, without those that were
+	// moved off a leaving server.
 	MaxAttempts int `json:"maxAttempts"`
-	// Requests are the settings of admission, retries and poison.
+	// Requests are the settings of admission control, retries and the detection
+	// of poison requests.
 	Requests RequestOptions `json:"requests,omitzero"`
 }
 
-// Machine is the core of one VM. It is not safe for concurrent use.
+// Machine is the decision state machine of one VM. It is not safe for concurrent use.
 type Machine struct {
-	options  Options
-	set      *config.Set
-	router   *route.Router
-	requests map[request.ID]*request.Request
-	fleet    fleetPart
-	life     requestPart
-	waits    waits
-	routing  routingPart
-	moves    movePart
+	options   Options
+	config    *config.Set
+	router    *route.Router
+	requests  map[request.ID]*request.Request
+	fleet     fleetState
+	lifecycle lifecycleState
+	timers    timers
+	routing   routingState
+	moves     moveState
 }
 
-// New makes a machine with nothing in force: it refuses every request until a
-// ConfigInForce event arrives.
+// New returns a machine without a configuration. It refuses every request until
+// it gets a ConfigInForce event.
 func New(options Options) *Machine {
 	return &Machine{
-		options:  options,
-		set:      config.Empty(),
-		router:   route.New(route.Options{Policy: options.Policy, DataCentre: options.DataCentre, Seed: options.Seed}),
-		requests: make(map[request.ID]*request.Request),
-		fleet:    newFleetPart(options.VM),
-		life:     newRequestPart(options.Requests),
-		routing:  newRoutingPart(),
-		moves:    newMovePart(),
+		options:   options,
+		config:    config.Empty(),
+		router:    route.New(route.Options{Policy: options.Policy, DataCentre: options.DataCentre, Seed: options.Seed}),
+		requests:  make(map[request.ID]*request.Request),
+		fleet:     newFleetState(options.VM),
+		lifecycle: newLifecycleState(options.Requests),
+		routing:   newRoutingState(),
+		moves:     newMoveState(),
 	}
 }
 
-// Step takes one event at a time and returns what is to be done about it.
+// Step processes one event that happened at time now and returns the resulting
+// actions in order.
 func (m *Machine) Step(now Time, event Event) []Action {
-	actions := m.fleetBefore(now, event)
-	actions = append(actions, m.routingBefore(now, event)...)
-	m.movesBefore(now, event)
+	actions := m.observeFleet(now, event)
+	actions = append(actions, m.observeRouting(now, event)...)
+	m.observeMoves(now, event)
 	actions = append(actions, m.step(now, event)...)
-	m.fleetAfter(event, actions)
+	m.trackAttemptPaths(event, actions)
 	return actions
 }
 
@@ -92,26 +95,26 @@
 	case AttemptEnded:
 		return m.attemptEnded(now, e)
 	case CallerGone:
-		return m.callerGone(now, e)
+		return m.callerDisconnected(now, e)
 	case ClaimDecided:
 		return m.claimDecided(now, e)
 	case ClaimPeeked:
 		return m.claimPeeked(now, e)
 	case AccountUsage:
-		return m.accountUsage(now, e)
+		return m.remoteAccountUsage(now, e)
 	case VMsCounted:
-		m.life.admission.SetLiveVMs(e.Live)
+		m.lifecycle.admission.SetLiveVMs(e.Live)
 		return nil
 	case PoisonLearned:
-		return m.poisonLearned(now, e)
+		return m.poisonFindingReceived(now, e)
 	case SuspicionConfirmed:
 		return m.suspicionConfirmed(now, e)
 	case ServerObserved:
-		return m.requestsObserved(now, e)
+		return m.requestsServerObserved(now, e)
 	case ServerSilent:
-		return m.requestsSilent(now, e)
+		return m.requestsProbeFailed(now, e)
 	case AttemptFlowing, FleetTick:
-		return m.settled(now)
+		return m.finishStep(now)
 	case Tick:
 		return m.tick(now)
 	default:
@@ -119,20 +122,21 @@
 	}
 }
 
-// InFlight is the number of requests that have arrived and not ended.
+// InFlight returns the number of requests that have arrived and not yet ended.
 func (m *Machine) InFlight() int { return len(m.requests) }
 
-// Release is the release in force; 0 before the first.
-func (m *Machine) Release() uint64 { return m.set.Release }
+// Release returns the number of the configuration release in force, or 0 before
+// the first.
+func (m *Machine) Release() uint64 { return m.config.Release }
 
 func (m *Machine) configInForce(now Time, e ConfigInForce) []Action {
-	if e.Set.Release <= m.set.Release {
+	if e.Set.Release <= m.config.Release {
 		return nil
 	}
-	m.set = e.Set
-	actions := m.fleetRecords(now)
+	m.config = e.Set
+	actions := m.updateFleetRecords(now)
 	m.setServers()
-	m.setPools()
+	m.updatePools()
 	m.planMoves()
-	return append(actions, m.settled(now)...)
+	return append(actions, m.finishStep(now)...)
 }
--- a/internal/core/fleet_hooks.go
+++ b/internal/core/fleet_hooks.go
@@ -7,26 +7,26 @@
 	"oleandershunt.example/oleandershunt/internal/core/route"
 )
 
-// fleetPart is what the machine knows of the backend servers' health.
-type fleetPart struct {
+// fleetState is what the machine knows about the backend servers' health.
+type fleetState struct {
 	self string
 	view *fleet.View
-	// paths are the servers of each request's current attempt, so that an
-	// answer counts in favour of all of them.
-	paths map[request.ID]route.Path
+	// attemptPaths has the path of each request's current attempt, so that a
+	// completed attempt counts as evidence of health for all its servers.
+	attemptPaths map[request.ID]route.Path
 }
 
-func newFleetPart(self string) fleetPart {
-	return fleetPart{
-		self:  self,
-		view:  fleet.New(fleet.DefaultOptions(self)),
-		paths: make(map[request.ID]route.Path),
+func newFleetState(self string) fleetState {
+	return fleetState{
+		self:         self,
+		view:         fleet.New(fleet.DefaultOptions(self)),
+		attemptPaths: make(map[request.ID]route.Path),
 	}
 }
 
-// fleetBefore takes an event's evidence on the fleet. It comes before the event
-// itself, so that a retry already knows what the failed attempt has shown.
-func (m *Machine) fleetBefore(now Time, event Event) []Action {
+// observeFleet updates the health view from an event. It runs before the event is
+// handled, so that a retry takes the failed attempt's evidence into account.
+func (m *Machine) observeFleet(now Time, event Event) []Action {
 	view := m.fleet.view
 	var actions []Action
 	switch e := event.(type) {
@@ -37,7 +37,7 @@
 			view.Told(e.Server, e.Incarnation)
 		}
 	case ServerSilent:
-		m.serverSilent(now, e)
+		m.fleetProbeFailed(now, e)
 	case ServerUnwatched:
 		view.Unwatched(e.Server)
 	case ServerOpinion:
@@ -51,29 +51,29 @@
 	case FleetTick:
 		view.Tick(now)
 	case AttemptEnded:
-		actions = m.fleetAttempt(now, e)
+		actions = m.fleetAttemptEnded(now, e)
 	default:
 		return nil
 	}
-	return append(actions, m.fleetChanges(now)...)
+	return append(actions, m.applyFleetChanges(now)...)
 }
 
-// fleetAfter keeps the paths of the attempts in flight.
-func (m *Machine) fleetAfter(event Event, actions []Action) {
+// trackAttemptPaths updates the paths of the attempts in flight after a step.
+func (m *Machine) trackAttemptPaths(event Event, actions []Action) {
 	switch e := event.(type) {
 	case AttemptEnded:
-		delete(m.fleet.paths, e.Request)
+		delete(m.fleet.attemptPaths, e.Request)
 	case CallerGone:
-		delete(m.fleet.paths, e.Request)
+		delete(m.fleet.attemptPaths, e.Request)
 	}
 	for _, action := range actions {
 		if dispatch, ok := action.(Dispatch); ok {
-			m.fleet.paths[dispatch.Request] = dispatch.Path
+			m.fleet.attemptPaths[dispatch.Request] = dispatch.Path
 		}
 	}
 }
 
-func (m *Machine) serverSilent(now Time, e ServerSilent) {
+func (m *Machine) fleetProbeFailed(now Time, e ServerSilent) {
 	if e.Witness != m.fleet.self {
 		return
 	}
@@ -84,12 +84,13 @@
 	m.fleet.view.Failed(now, e.Server)
 }
 
-// fleetAttempt takes what an attempt shows of its servers. A refusal before any
-// work may be the engine's own, so a probe finds out whether it lives.
-func (m *Machine) fleetAttempt(now Time, e AttemptEnded) []Action {
+// fleetAttemptEnded updates the health of an attempt's servers from its outcome.
+// An attempt refused before any work may have been refused by a healthy engine,
+// so the server is probed rather than counted as failed.
+func (m *Machine) fleetAttemptEnded(now Time, e AttemptEnded) []Action {
 	switch e.Outcome {
 	case request.Completed:
-		for _, stage := range m.fleet.paths[e.Request] {
+		for _, stage := range m.fleet.attemptPaths[e.Request] {
 			m.fleet.view.Worked(now, stage.Server)
 		}
 	case request.Lost, request.Broken:
@@ -105,19 +106,21 @@
 	return nil
 }
 
-// fleetRecords takes the backend servers of the configuration in force.
-func (m *Machine) fleetRecords(now Time) []Action {
-	servers := m.set.Servers()
+// updateFleetRecords passes the backend servers of the configuration in force to
+// the health view.
+func (m *Machine) updateFleetRecords(now Time) []Action {
+	servers := m.config.Servers()
 	records := make([]fleet.Record, 0, len(servers))
 	for _, s := range servers {
 		records = append(records, fleet.Record{Name: s.Name, DataCentre: s.DataCentre, Leaving: s.Leaving})
 	}
 	m.fleet.view.SetRecords(records)
-	return m.fleetChanges(now)
+	return m.applyFleetChanges(now)
 }
 
-// fleetChanges judges anew what has new evidence and tells the router.
-func (m *Machine) fleetChanges(now Time) []Action {
+// applyFleetChanges re-evaluates the servers with new evidence, updates the router
+// and returns the actions for the changes.
+func (m *Machine) applyFleetChanges(now Time) []Action {
 	changes := m.fleet.view.Changes(now)
 	var actions []Action
 	for _, restart := range changes.Restarts {
@@ -139,8 +142,8 @@
 	return actions
 }
 
-// eligible tells whether a backend server may get new work from this VM, and
-// which process is known at it.
+// eligible reports whether a backend server may get new work from this VM, and
+// the incarnation of the process last known there (0 if unknown).
 func (m *Machine) eligible(record config.Server) (bool, uint64) {
 	status, ok := m.fleet.view.Status(record.Name)
 	if !ok {
--- a/internal/core/messages_fleet.go
+++ b/internal/core/messages_fleet.go
@@ -5,92 +5,93 @@
 	"oleandershunt.example/oleandershunt/internal/core/fleet"
 )
 
-// ServerObserved is what a backend server said of itself, to this VM or to
-// another that passed it on. It lags.
+// ServerObserved is a backend server's report on itself, received by this VM or
+// forwarded by another. It may be outdated.
 type ServerObserved struct {
 	Server      string     `json:"server"`
 	Incarnation uint64     `json:"incarnation"`
 	Model       string     `json:"model,omitempty"`
 	Version     string     `json:"version,omitempty"`
 	Layers      api.Layers `json:"layers,omitzero"`
-	// Running and Waiting are the engine's streams in its batch and in its queue.
+	// Running and Waiting are the numbers of streams in the engine's batch and queue.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// LoadUnknown says that this is word of what the server holds, passed on
-	// without its load: Running and Waiting tell nothing.
+	// LoadUnknown says that the report was forwarded without the server's load, so
+	// that Running and Waiting mean nothing.
 	LoadUnknown bool `json:"loadUnknown,omitempty"`
 	Leaving     bool `json:"leaving,omitempty"`
-	// LeaveBy is when a server that leaves stops, counted on the wall clock from
-	// the Unix epoch. 0 when it didn't say.
+	// LeaveBy is the wall time, since the Unix epoch, at which a leaving server
+	// stops. 0 when the server gave none.
 	LeaveBy Time `json:"leaveBy,omitempty"`
-	// Witness is the VM that asked the server.
+	// Witness is the VM that probed the server.
 	Witness string `json:"witness"`
 	// Age is how old the report was when it arrived.
 	Age Time `json:"age,omitempty"`
 }
 
-// ServerSilent says that a VM's probe of a backend server got no answer.
+// ServerSilent reports that a VM's probe of a backend server got no answer.
 type ServerSilent struct {
 	Server  string `json:"server"`
 	Witness string `json:"witness"`
-	// Refused is true when the connection was refused, which proves that no
-	// process listens; otherwise the probe timed out, which may be the link.
+	// Refused says that the connection was refused, which proves that no process
+	// is listening. Otherwise the probe timed out, which may be a network failure.
 	Refused bool `json:"refused,omitempty"`
 }
 
-// ServerUnwatched says that this VM no longer probes a backend server, so that
-// what it saw itself grows old and no longer counts.
+// ServerUnwatched reports that this VM no longer probes a backend server. Its own
+// earlier observations become stale and no longer count.
 type ServerUnwatched struct {
 	Server string `json:"server"`
 }
 
-// ServerOpinion is what another VM says of a backend server, in place of what
-// it said before. A neutral opinion withdraws the earlier one.
+// ServerOpinion is another VM's opinion on a backend server's health. It replaces
+// that VM's previous opinion, and a neutral one withdraws it.
 type ServerOpinion struct {
 	Witness string        `json:"witness"`
 	Opinion fleet.Opinion `json:"opinion"`
 }
 
-// WitnessGone says that a VM is gone, and its opinions with it.
+// WitnessGone reports that a VM has left the membership. Its opinions are dropped.
 type WitnessGone struct {
 	Witness string `json:"witness"`
 }
 
-// VMsCounted says how many VMs live, this one included.
+// VMsCounted reports the number of live VMs, including this one.
 type VMsCounted struct {
 	Live int `json:"live"`
 }
 
-// PlatformListed is the platform's list of VMs as far as it concerns backend
-// servers. It lags.
+// PlatformListed is the part of the platform's VM list that concerns backend
+// servers. It may be outdated.
 type PlatformListed struct {
 	Servers []fleet.Listed `json:"servers"`
 }
 
-// FleetTick lets time pass in the judgement on the fleet, about once a second.
+// FleetTick advances the time of the fleet's health evaluation, about once a second.
 type FleetTick struct {
-	// Wall is the wall clock's reading, counted from the Unix epoch. Deadlines in
-	// records are wall time; nothing else is judged by it. 0 when it isn't told.
+	// Wall is the wall clock's reading since the Unix epoch. It is used only for
+	// leave deadlines, which are wall time. 0 when not known.
 	Wall Time `json:"wall,omitempty"`
 }
 
-// ServerChanged says that the judgement on a backend server changed.
+// ServerChanged reports a change of a backend server's health status.
 type ServerChanged struct {
 	Status fleet.Status `json:"status"`
 }
 
-// ServerRestarted says that another process answers at a backend server than before.
+// ServerRestarted reports that a backend server runs in a new process.
 type ServerRestarted struct {
 	Restart fleet.Restart `json:"restart"`
 }
 
-// SpreadOpinion asks the VM to tell the others what it holds of a backend server.
+// SpreadOpinion asks the VM to gossip its opinion on a backend server's health to
+// the other VMs.
 type SpreadOpinion struct {
 	Opinion fleet.Opinion `json:"opinion"`
 }
 
-// ProbeServer asks the VM to probe a backend server now: somebody could not
-// reach it, and only an own try tells whether this VM can.
+// ProbeServer asks the VM to probe a backend server now: an attempt or another VM
+// could not reach it, and only a probe of its own shows whether this VM can.
 type ProbeServer struct {
 	Server string `json:"server"`
 }
--- a/internal/core/messages_moves.go
+++ b/internal/core/messages_moves.go
@@ -3,43 +3,44 @@
 import "oleandershunt.example/oleandershunt/internal/core/request"
 
 // Move asks the VM to end an attempt at a token boundary and to report its end
-// with the outcome Moved, so that the stream goes on elsewhere before a backend
-// server that leaves stops.
+// with the outcome request.Moved, so that the stream can resume on other servers
+// before a leaving backend server stops.
 type Move struct {
 	Request request.ID `json:"request"`
 	Attempt int        `json:"attempt"`
-	// Server is the backend server that leaves.
+	// Server is the leaving backend server.
 	Server string `json:"server"`
 }
 
-// AttemptFlowing says that the first token has come of an attempt after the
-// request's first.
+// AttemptFlowing reports the first token of an attempt other than the request's
+// first, that is, of a resumed stream or a retry.
 type AttemptFlowing struct {
 	Request request.ID `json:"request"`
 	Attempt int        `json:"attempt"`
 }
 
-// LeavePhase is how far a backend server that leaves by a deadline has come.
+// LeavePhase is the phase of moving streams off a backend server that leaves by a
+// deadline.
 type LeavePhase string
 
 // The phases.
 const (
-	// LeaveMoving: the streams on it are moved from now on.
+	// LeaveMoving: the VM starts to move its streams off the server.
 	LeaveMoving LeavePhase = "moving"
-	// LeaveOverdue: its deadline has passed and requests of this VM still run on it.
+	// LeaveOverdue: the deadline has passed and requests of this VM still run on the server.
 	LeaveOverdue LeavePhase = "overdue"
 )
 
-// ServerLeaving tells of a backend server that leaves by a deadline.
+// ServerLeaving reports a phase change of a backend server that leaves by a deadline.
 type ServerLeaving struct {
 	Server string     `json:"server"`
 	Phase  LeavePhase `json:"phase"`
-	// Streams is the number of this VM's streams on the server that may be moved.
+	// Streams is the number of this VM's streams on the server that can be moved.
 	Streams int `json:"streams,omitempty"`
-	// Staying is the number of its requests there that may not: non-idempotent
-	// ones and calls of a plain service.
+	// Staying is the number of its requests there that can't be moved:
+	// non-idempotent ones and calls of a plain service.
 	Staying int `json:"staying,omitempty"`
-	// Left is the time until the deadline.
+	// Left is the time remaining until the deadline.
 	Left Time `json:"left,omitempty"`
 }
 
--- a/internal/core/messages_poison.go
+++ b/internal/core/messages_poison.go
@@ -2,25 +2,26 @@
 
 import "oleandershunt.example/oleandershunt/internal/core/request"
 
-// SpreadSuspicion asks the VM to tell the other VMs at once that a connection
-// was lost with a body's request on it, before it is known whether the server
-// crashed.
+// SpreadSuspicion asks the VM to publish to the other VMs at once that the
+// connection to a server was lost while a request with the body ran on it. It is
+// sent before it is known whether the server crashed.
 type SpreadSuspicion struct {
 	Finding PoisonFinding `json:"finding"`
 }
 
-// ConfirmSuspicion asks the VM to exchange with the other VMs all that is known
-// of crashes, and to answer with SuspicionConfirmed. A request whose body may
-// have crashed servers is not dispatched before.
+// ConfirmSuspicion asks the VM to exchange all findings on crashes with the other
+// VMs and to answer with SuspicionConfirmed. The request, whose body may have
+// crashed servers, is not dispatched before the answer.
 type ConfirmSuspicion struct {
 	Request request.ID `json:"request"`
 }
 
-// SuspicionConfirmed says that the exchange is over. What it brought came
-// before, as PoisonLearned.
+// SuspicionConfirmed reports the end of the exchange asked for by
+// ConfirmSuspicion. The findings of other VMs were delivered before it as
+// PoisonLearned events.
 type SuspicionConfirmed struct {
 	Request request.ID `json:"request"`
-	// Missing are the VMs that may live and did not answer in time.
+	// Missing are the VMs that may be alive but did not answer in time.
 	Missing []string `json:"missing,omitempty"`
 }
 
--- a/internal/core/messages_requests.go
+++ b/internal/core/messages_requests.go
@@ -2,105 +2,109 @@
 
 import "oleandershunt.example/oleandershunt/internal/core/request"
 
-// Tick says that the time of an earlier WakeAt has come.
+// Tick reports that the time of an earlier WakeAt has been reached.
 type Tick struct{}
 
-// WakeAt asks the VM for a Tick at a time. The VM keeps the earliest time asked
-// for; after a Tick everything that still waits asks again.
+// WakeAt asks the VM for a Tick at a time. The VM keeps only the earliest requested
+// time. After a Tick the core sends WakeAt again if anything still waits.
 type WakeAt struct {
 	At Time `json:"at"`
 }
 
-// AccountRate is the rate at which an account's requests arrive somewhere.
+// AccountRate is the arrival rate of an account's requests, on one VM or summed
+// over several.
 type AccountRate struct {
 	Account string `json:"account"`
-	// PerSecond counts the requests that arrived, refused ones included.
+	// PerSecond is the rate of arrived requests, including refused ones.
 	PerSecond float64 `json:"perSecond"`
 }
 
-// AccountUsage says how much the other VMs see of the accounts that have a rate
+// AccountUsage reports the usage on other VMs of the accounts that have a rate
 // limit, so that the limit holds approximately over all VMs.
 type AccountUsage struct {
-	// LiveVMs is the number of VMs that serve callers, this one included.
+	// LiveVMs is the number of VMs that serve callers, including this one.
 	LiveVMs int `json:"liveVMs"`
-	// Elsewhere sums the other VMs' rates. An account that is missing is not
-	// known to be used elsewhere.
+	// Elsewhere has the sum of the other VMs' rates by account. A missing account
+	// is not known to be used on another VM.
 	Elsewhere []AccountRate `json:"elsewhere,omitempty"`
 }
 
-// AccountUsageHere tells the other VMs the rates of the limited accounts on this one.
+// AccountUsageHere asks the VM to report the rates of the rate-limited accounts on
+// this VM to the other VMs.
 type AccountUsageHere struct {
 	Accounts []AccountRate `json:"accounts"`
 }
 
-// PoisonFinding is what VMs tell each other of a body that crashes backend servers.
+// PoisonFinding is a finding, exchanged between VMs, on a body that may crash
+// backend servers.
 type PoisonFinding struct {
 	Account  string `json:"account"`
 	Pipeline string `json:"pipeline"`
 	BodyHash uint64 `json:"bodyHash"`
-	// Server is the backend server of the last crash, and Incarnation the
-	// process that was lost there. 0 means not known.
+	// Server is the backend server of the last crash, and Incarnation the process
+	// that was lost there. Incarnation 0 means unknown.
 	Server      string `json:"server,omitempty"`
 	Incarnation uint64 `json:"incarnation,omitempty"`
-	// Crashes is the number of crashes at which the body was on the server.
+	// Crashes is the number of server crashes while the body ran on the server.
 	Crashes int `json:"crashes"`
 	// Condemned says that requests with the body are refused.
 	Condemned bool `json:"condemned,omitempty"`
-	// Suspected says that the crash is not proven yet: a connection was lost.
+	// Suspected says that the crash is not proven yet: only a connection was lost.
 	Suspected bool `json:"suspected,omitempty"`
-	// Age is how long ago the last of the crashes was.
+	// Age is the time since the last crash.
 	Age Time `json:"age,omitempty"`
 }
 
-// PoisonVerdict asks the VM to spread a finding to the other VMs.
+// PoisonVerdict asks the VM to publish a finding to the other VMs.
 type PoisonVerdict struct {
 	Finding PoisonFinding `json:"finding"`
 }
 
-// PoisonLearned is another VM's finding.
+// PoisonLearned reports another VM's finding.
 type PoisonLearned struct {
 	Finding PoisonFinding `json:"finding"`
 }
 
-// Step names what was decided about a request.
+// Step is the kind of decision that a Note records.
 type Step string
 
-// The steps that a Note tells of.
+// The steps in the processing of a request.
 const (
-	StepArrived    Step = "arrived"
-	StepQueued     Step = "queued"
-	StepClaiming   Step = "claiming"
-	StepClaimed    Step = "claimed"
-	StepPeeking    Step = "peeking"
-	StepDispatched Step = "dispatched"
-	StepLost       Step = "attempt_lost"
-	StepMoving     Step = "moving"
-	StepMoved      Step = "moved"
-	StepWaiting    Step = "waiting"
-	StepIsolated   Step = "isolated"
-	StepRefused    Step = "refused"
-	StepCompleted  Step = "completed"
-	StepCallerGone Step = "caller_gone"
-	StepLateWord   Step = "late_word"
+	StepArrived            Step = "arrived"
+	StepQueued             Step = "queued"
+	StepClaiming           Step = "claiming"
+	StepClaimed            Step = "claimed"
+	StepPeeking            Step = "peeking"
+	StepDispatched         Step = "dispatched"
+	StepLost               Step = "attempt_lost"
+	StepMoving             Step = "moving"
+	StepMoved              Step = "moved"
+	StepWaiting            Step = "waiting"
+	StepIsolated           Step = "isolated"
+	StepRefused            Step = "refused"
+	StepCompleted          Step = "completed"
+	StepCallerDisconnected Step = "caller_gone"
+	StepLateReport         Step = "late_word"
 )
 
-// Note tells why something was decided about a request. The VM keeps notes for
-// a while, so that an operator can have a request explained.
+// Note records a decision about a request and its reason. The VM keeps notes for
+// some time, so that an operator can have a request explained.
 type Note struct {
 	Request request.ID `json:"request"`
 	At      Time       `json:"at"`
 	Step    Step       `json:"step"`
 	Attempt int        `json:"attempt,omitempty"`
-	// Servers are the backend servers concerned: a path in layer order, or the one at fault.
+	// Servers are the backend servers concerned: a path in layer order, or the
+	// server at fault.
 	Servers   []string          `json:"servers,omitempty"`
 	Reason    request.Reason    `json:"reason,omitempty"`
 	Execution request.Execution `json:"execution,omitempty"`
 	Outcome   request.Outcome   `json:"outcome,omitempty"`
 	// Tokens is the number of tokens delivered so far.
 	Tokens int `json:"tokens,omitempty"`
-	// Until is when a wait ends at the latest.
+	// Until is the latest time at which a wait ends.
 	Until Time `json:"until,omitempty"`
-	// Text says in words what the fields don't.
+	// Text explains what the other fields don't show.
 	Text string `json:"text,omitempty"`
 }
 
--- a/internal/core/messages_routing.go
+++ b/internal/core/messages_routing.go
@@ -5,40 +5,43 @@
 	"oleandershunt.example/oleandershunt/internal/core/route"
 )
 
-// CacheObserved is what a backend server said of the prompt prefixes in its
-// cache. It comes late, and some of it never.
+// CacheObserved reports changes of the prompt prefixes in a backend server's
+// cache. It may arrive late, and some changes are never reported.
 type CacheObserved struct {
 	Server      string             `json:"server"`
 	Incarnation uint64             `json:"incarnation"`
 	Events      []route.CacheEvent `json:"events"`
 }
 
-// LinkObserved is what is known of the way between two data centres, in one direction.
+// LinkObserved reports the state of the network link from one data centre to
+// another.
 type LinkObserved struct {
 	From string `json:"from"`
 	To   string `json:"to"`
-	// Delay is the time one token's activations take to cross.
+	// Delay is the transfer time of one token's activations.
 	Delay Time `json:"delay"`
-	// TokensPerSecond bounds the activations that cross. 0 means no bound is known.
+	// TokensPerSecond is the link's capacity, in tokens' activations per second. 0
+	// means no limit is known.
 	TokensPerSecond float64 `json:"tokensPerSecond,omitempty"`
-	// Lost says that nothing crosses.
+	// Lost says that the link is down.
 	Lost bool `json:"lost,omitempty"`
 }
 
-// PipelineBound tells what the eligible backend servers can carry of a
-// pipeline, as this VM sees them. It is sent when that changes.
+// PipelineBound reports the maximum throughput of a pipeline on the backend
+// servers that this VM considers eligible. It is sent when it changes.
 type PipelineBound struct {
 	Pipeline string `json:"pipeline"`
 	// TokensPerSecond is the maximum flow through all layers.
 	TokensPerSecond float64 `json:"tokensPerSecond"`
 	// Servers counts the eligible backend servers.
 	Servers int `json:"servers"`
-	// Missing, SingleCopy and Bottleneck are ranges of layers which no server
-	// holds, which one holds, and whose servers limit the flow.
+	// Missing, SingleCopy and Bottleneck are the ranges of layers that no server
+	// holds, that only one server holds, and whose servers limit the flow.
 	Missing    []api.Layers `json:"missing,omitempty"`
 	SingleCopy []api.Layers `json:"singleCopy,omitempty"`
 	Bottleneck []api.Layers `json:"bottleneck,omitempty"`
-	// Disconnected says that every layer is held, but lost links part the holders.
+	// Disconnected says that every layer is held by some server, but link failures
+	// separate the servers.
 	Disconnected bool `json:"disconnected,omitempty"`
 	// Removed says that the pipeline is no longer configured.
 	Removed bool `json:"removed,omitempty"`
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -11,154 +11,161 @@
 )
 
 const (
-	// leaveReserve is how long before its deadline a server should be empty. It
-	// covers the difference of two wall clocks and the way of a cancellation.
+	// leaveReserve is how long before its deadline a server should have no streams
+	// left. It covers the skew between two wall clocks and the delay of a
+	// cancellation.
 	leaveReserve = 2 * time.Second
-	// leaveMargin bounds how long before the reserve streams begin to move.
-	leaveMargin = 30 * time.Second
-	// movesAtOnce bounds the streams of one server on the move, and movesUnhurried
-	// is how many the beginning is reckoned with.
-	movesAtOnce    = 64
-	movesUnhurried = 4
-	// moveRetry is how often a stream that has nowhere to go is looked at again.
-	moveRetry = time.Second
-	// The time of a resume: until one is seen, and the bounds of what is learned.
-	resumeTimeStart = time.Second
-	resumeTimeLeast = 100 * time.Millisecond
-	resumeTimeMost  = 10 * time.Second
-	// resumeForgets is the part by which the time falls towards a shorter one.
-	resumeForgets = 8
-	// moveSpare is the part by which moves are reckoned slower than learned, and
-	// moveLost how many times that long a move is waited for.
-	moveSpare = 2
-	moveLost  = 2
-	// planNow has a plan looked at in the same step.
-	planNow = Time(1)
+	// maxMoveLeadTime limits how long before the reserve the moves may start.
+	maxMoveLeadTime = 30 * time.Second
+	// maxConcurrentMoves limits the moves in flight off one server.
+	// plannedConcurrentMoves is the concurrency from which the start is computed.
+	maxConcurrentMoves     = 64
+	plannedConcurrentMoves = 4
+	// moveRetryInterval is the retry interval for a stream that has no other path.
+	moveRetryInterval = time.Second
+	// The initial estimate of the resume time, and the limits of the measured values.
+	initialResumeTime = time.Second
+	minResumeTime     = 100 * time.Millisecond
+	maxResumeTime     = 10 * time.Second
+	// resumeDecayDivisor is the divisor of the step by which the estimate falls
+	// towards a shorter resume time.
+	resumeDecayDivisor = 8
+	// moveTimeFactor is the safety factor on the estimated resume time.
+	// moveTimeoutFactor is how many times that product a move may take before it
+	// counts as lost.
+	moveTimeFactor    = 2
+	moveTimeoutFactor = 2
+	// planDueNow as a plan's dueAt makes it run in the current step.
+	planDueNow = Time(1)
 )
 
-// movePart moves streams off the backend servers that leave by a deadline.
-type movePart struct {
-	// wall is the wall clock's reading less the machine's. Deadlines are wall
-	// time, since VMs that start at unlike times must mean the same moment.
-	wall      Time
-	wallKnown bool
-	// resume is the learned time from a dispatch to the first token of a stream
-	// that goes on.
-	resume Time
-	// reported are the deadlines that servers told of themselves.
-	reported map[string]reportedLeave
-	// plans are by server.
+// moveState is the state of moving streams off the backend servers that leave by
+// a deadline.
+type moveState struct {
+	// wallOffset is the wall clock's reading minus the machine's. Deadlines are
+	// wall time, since monotonic clocks of different VMs are not comparable.
+	wallOffset      Time
+	wallOffsetKnown bool
+	// resumeTime is the estimated time from the dispatch of a resumed stream to its
+	// first token.
+	resumeTime Time
+	// reportedDeadlines has the deadlines that servers reported themselves, by server.
+	reportedDeadlines map[string]reportedDeadline
+	// plans has the plan for each leaving server, by server.
 	plans map[string]*movePlan
 }
 
-// reportedLeave is a deadline as a process of a server told it.
-type reportedLeave struct {
+// reportedDeadline is a leave deadline reported by one process of a server.
+type reportedDeadline struct {
 	incarnation uint64
 	leaveBy     Time
 }
 
-// movePlan empties one backend server.
+// movePlan is the plan for moving all streams off one backend server.
 type movePlan struct {
-	// leaveBy is wall time.
+	// leaveBy is the server's deadline in wall time.
 	leaveBy Time
-	// begun is set when streams begin to move, and over after the deadline.
-	begun, over bool
-	// at is when the plan is to be looked at next. 0 when only an event matters.
-	at Time
-	// waiting are the streams that are still to move, and moving those on the
-	// move, with the time at which they were asked to.
-	waiting []request.ID
-	moving  map[request.ID]Time
+	// started is set when the moves start, and finished after the deadline.
+	started, finished bool
+	// dueAt is when the plan runs next. 0 means only after an event.
+	dueAt Time
+	// pending are the streams still to be moved. inFlight are those being moved,
+	// with the time at which the Move was sent.
+	pending  []request.ID
+	inFlight map[request.ID]Time
 }
 
-func newMovePart() movePart {
-	return movePart{resume: resumeTimeStart, reported: make(map[string]reportedLeave), plans: make(map[string]*movePlan)}
+func newMoveState() moveState {
+	return moveState{resumeTime: initialResumeTime, reportedDeadlines: make(map[string]reportedDeadline), plans: make(map[string]*movePlan)}
 }
 
-// movesBefore takes an event's evidence on deadlines and on the time of a resume.
-func (m *Machine) movesBefore(now Time, event Event) {
+// observeMoves updates the wall clock, the leave deadlines and the estimated
+// resume time from an event.
+func (m *Machine) observeMoves(now Time, event Event) {
 	switch e := event.(type) {
 	case FleetTick:
 		if e.Wall == 0 {
 			return
 		}
-		first := !m.moves.wallKnown
-		m.moves.wall, m.moves.wallKnown = e.Wall-now, true
+		first := !m.moves.wallOffsetKnown
+		m.moves.wallOffset, m.moves.wallOffsetKnown = e.Wall-now, true
 		if first {
 			m.planMoves()
 		}
 	case ServerObserved:
-		m.leaveReported(e)
+		m.deadlineReported(e)
 	case AttemptFlowing:
-		m.attemptFlowing(now, e)
+		m.attemptResumed(now, e)
 	}
 }
 
-func (m *Machine) leaveReported(e ServerObserved) {
-	known := m.moves.reported[e.Server]
-	told := reportedLeave{e.Incarnation, e.LeaveBy}
-	if e.Incarnation < known.incarnation || known == told || e.LeaveBy == 0 && known.leaveBy == 0 {
+func (m *Machine) deadlineReported(e ServerObserved) {
+	known := m.moves.reportedDeadlines[e.Server]
+	reported := reportedDeadline{e.Incarnation, e.LeaveBy}
+	if e.Incarnation < known.incarnation || known == reported || e.LeaveBy == 0 && known.leaveBy == 0 {
 		return
 	}
-	m.moves.reported[e.Server] = told
+	m.moves.reportedDeadlines[e.Server] = reported
 	if e.LeaveBy == 0 {
-		delete(m.moves.reported, e.Server)
+		delete(m.moves.reportedDeadlines, e.Server)
 	}
 	m.planMoves()
 }
 
-// attemptFlowing learns how long a resume takes: at once where it took longer,
-// and slowly where it took less, as one that is late costs a cut.
-func (m *Machine) attemptFlowing(now Time, e AttemptFlowing) {
+// attemptResumed updates the estimated resume time. A longer time is adopted at
+// once and a shorter one gradually, since a move that ends too late gets the
+// stream cut off.
+func (m *Machine) attemptResumed(now Time, e AttemptFlowing) {
 	r, ok := m.requests[e.Request]
 	if !ok || r.Attempt != e.Attempt || r.State != request.Dispatched {
 		return
 	}
-	took := min(max(now-r.SentAt, resumeTimeLeast), resumeTimeMost)
-	if took < m.moves.resume {
-		took = m.moves.resume - (m.moves.resume-took)/resumeForgets
+	elapsed := min(max(now-r.SentAt, minResumeTime), maxResumeTime)
+	if elapsed < m.moves.resumeTime {
+		elapsed = m.moves.resumeTime - (m.moves.resumeTime-elapsed)/resumeDecayDivisor
 	}
-	m.moves.resume = took
+	m.moves.resumeTime = elapsed
 	m.moveEnded(r.ID)
 }
 
-// moveEnded lets another stream have the place of one that flows again or ended.
+// moveEnded ends the move of a request that has resumed or ended, and makes its
+// plan run in this step so that another stream can take its place.
 func (m *Machine) moveEnded(id request.ID) {
 	for _, plan := range m.moves.plans {
-		if _, moving := plan.moving[id]; moving {
-			delete(plan.moving, id)
-			plan.at = planNow
+		if _, moving := plan.inFlight[id]; moving {
+			delete(plan.inFlight, id)
+			plan.dueAt = planDueNow
 		}
 	}
 }
 
-// planMoves makes a plan for each backend server that leaves by a deadline, and
-// drops those of servers that stay.
+// planMoves creates a plan for each backend server that leaves by a deadline, and
+// drops plans whose server no longer leaves or has another deadline.
 func (m *Machine) planMoves() {
-	if !m.moves.wallKnown {
+	if !m.moves.wallOffsetKnown {
 		return
 	}
 	leaving := make(map[string]Time)
-	for _, server := range m.set.Servers() {
+	for _, server := range m.config.Servers() {
 		if by := m.leaveBy(server.Name, server.Leaving, server.LeaveBy); by != 0 {
 			leaving[server.Name] = by
 		}
 	}
-	maps.DeleteFunc(m.moves.reported, func(name string, _ reportedLeave) bool {
-		_, configured := m.set.Backend(name)
+	maps.DeleteFunc(m.moves.reportedDeadlines, func(name string, _ reportedDeadline) bool {
+		_, configured := m.config.Backend(name)
 		return !configured
 	})
 	maps.DeleteFunc(m.moves.plans, func(name string, plan *movePlan) bool { return leaving[name] != plan.leaveBy })
 	for name, by := range leaving {
 		if m.moves.plans[name] == nil {
-			m.moves.plans[name] = &movePlan{leaveBy: by, at: planNow, moving: make(map[request.ID]Time)}
+			m.moves.plans[name] = &movePlan{leaveBy: by, dueAt: planDueNow, inFlight: make(map[request.ID]Time)}
 		}
 	}
 }
 
-// leaveBy is when a backend server that leaves stops, in wall time: what its
-// record or itself says, whichever comes first. 0 when it doesn't leave or no
-// deadline is known.
+// leaveBy returns the wall time at which a leaving backend server stops: the
+// earlier of the deadlines in its record and in its own report. It is 0 if the
+// server does not leave or no deadline is known.
 func (m *Machine) leaveBy(name string, recordLeaving bool, recorded string) Time {
 	var by Time
 	if recordLeaving && recorded != "" {
@@ -166,126 +173,127 @@
 			by = Time(at.UnixNano())
 		}
 	}
-	told := m.moves.reported[name]
+	reported := m.moves.reportedDeadlines[name]
 	status, _ := m.fleet.view.Status(name)
-	if told.leaveBy != 0 && status.State == fleet.Leaving && told.incarnation >= status.Incarnation && (by == 0 || told.leaveBy < by) {
-		by = told.leaveBy
+	if reported.leaveBy != 0 && status.State == fleet.Leaving && reported.incarnation >= status.Incarnation && (by == 0 || reported.leaveBy < by) {
+		by = reported.leaveBy
 	}
 	return by
 }
 
-// advanceMoves carries the plans on whose time has come.
-func (m *Machine) advanceMoves(now Time) {
+// runMovePlans runs the plans that are due.
+func (m *Machine) runMovePlans(now Time) {
 	if len(m.moves.plans) == 0 {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(m.moves.plans)) {
 		plan := m.moves.plans[name]
-		if plan.over || plan.at == 0 || plan.at > now {
+		if plan.finished || plan.dueAt == 0 || plan.dueAt > now {
 			continue
 		}
-		plan.at = 0
-		m.advanceMove(now, name, plan)
+		plan.dueAt = 0
+		m.runMovePlan(now, name, plan)
 	}
 }
 
-func (m *Machine) advanceMove(now Time, server string, plan *movePlan) {
-	deadline := plan.leaveBy - m.moves.wall
+func (m *Machine) runMovePlan(now Time, server string, plan *movePlan) {
+	deadline := plan.leaveBy - m.moves.wallOffset
 	switch {
 	case now >= deadline:
-		plan.over = true
+		plan.finished = true
 		if streams, staying := m.requestsOn(server); len(streams)+staying > 0 {
 			m.emit(ServerLeaving{Server: server, Phase: LeaveOverdue, Streams: len(streams), Staying: staying})
 		}
 		return
-	case !plan.begun:
+	case !plan.started:
 		streams, staying := m.requestsOn(server)
-		if start := deadline - m.margin(len(streams)); now < start {
-			// The wall clock may be set meanwhile.
-			plan.at = min(start, now+leaveMargin)
+		if start := deadline - m.moveLeadTime(len(streams)); now < start {
+			// The wall clock may be adjusted in the meantime, so check again.
+			plan.dueAt = min(start, now+maxMoveLeadTime)
 			return
 		}
-		plan.begun, plan.waiting = true, streams
+		plan.started, plan.pending = true, streams
 		m.emit(ServerLeaving{Server: server, Phase: LeaveMoving, Streams: len(streams), Staying: staying, Left: deadline - now})
 	}
-	m.moveSome(now, server, plan, deadline-leaveReserve-now)
-	if plan.at == 0 || plan.at > deadline {
-		plan.at = max(deadline, now+1)
+	m.startMoves(now, server, plan, deadline-leaveReserve-now)
+	if plan.dueAt == 0 || plan.dueAt > deadline {
+		plan.dueAt = max(deadline, now+1)
 	}
 }
 
-// margin is how long before its deadline a server's streams begin to move.
-func (m *Machine) margin(streams int) Time {
-	rounds := Time((streams+movesUnhurried-1)/movesUnhurried + 1)
-	return leaveReserve + min(moveSpare*m.moves.resume*rounds, leaveMargin)
+// moveLeadTime returns how long before a server's deadline its moves start.
+func (m *Machine) moveLeadTime(streams int) Time {
+	rounds := Time((streams+plannedConcurrentMoves-1)/plannedConcurrentMoves + 1)
+	return leaveReserve + min(moveTimeFactor*m.moves.resumeTime*rounds, maxMoveLeadTime)
 }
 
-// atOnce is how many streams may be on the move together so that all are gone
-// in the time left. Each costs the server that takes it a prefill: all at once
-// would hold up that server's own streams.
-func (m *Machine) atOnce(streams int, left Time) int {
-	each := moveSpare * m.moves.resume
+// concurrentMoves returns how many moves must be in flight at once to finish all
+// of them in the time left. It is kept as low as possible because each move costs
+// the receiving server a prefill: moving all streams at once would stall that
+// server's own streams.
+func (m *Machine) concurrentMoves(streams int, left Time) int {
+	each := moveTimeFactor * m.moves.resumeTime
 	needed := math.Ceil(float64(streams) * float64(each) / float64(max(left, each)))
-	return min(max(int(needed), 1), movesAtOnce)
+	return min(max(int(needed), 1), maxConcurrentMoves)
 }
 
-// moveSome asks for as many moves as there is room for.
-func (m *Machine) moveSome(now Time, server string, plan *movePlan, left Time) {
-	m.forgetMoves(now, server, plan)
-	room := m.atOnce(len(plan.waiting)+len(plan.moving), left) - len(plan.moving)
+// startMoves starts as many moves as the concurrency limit allows.
+func (m *Machine) startMoves(now Time, server string, plan *movePlan, left Time) {
+	m.expireMoves(now, server, plan)
+	free := m.concurrentMoves(len(plan.pending)+len(plan.inFlight), left) - len(plan.inFlight)
 	var stuck []request.ID
-	for room > 0 && len(plan.waiting) > 0 {
-		r, ok := m.requests[plan.waiting[0]]
-		plan.waiting = plan.waiting[1:]
+	for free > 0 && len(plan.pending) > 0 {
+		r, ok := m.requests[plan.pending[0]]
+		plan.pending = plan.pending[1:]
 		switch {
-		case !ok || !runsOn(r, server):
+		case !ok || !isRunningOn(r, server):
 			continue
 		case !m.hasOtherPath(now, r, server):
 			stuck = append(stuck, r.ID)
 			continue
 		}
-		room--
-		plan.moving[r.ID] = now
-		m.note(now, r, Note{Step: StepMoving, Servers: []string{server}, Until: plan.leaveBy - m.moves.wall, Text: "the server leaves; the stream goes on elsewhere before it stops"})
+		free--
+		plan.inFlight[r.ID] = now
+		m.note(now, r, Note{Step: StepMoving, Servers: []string{server}, Until: plan.leaveBy - m.moves.wallOffset, Text: "the server leaves; the stream goes on elsewhere before it stops"})
 		m.emit(Move{Request: r.ID, Attempt: r.Attempt, Server: server})
 	}
-	plan.waiting = append(plan.waiting, stuck...)
+	plan.pending = append(plan.pending, stuck...)
 	if len(stuck) > 0 {
-		plan.at = now + moveRetry
+		plan.dueAt = now + moveRetryInterval
 	}
-	for _, since := range plan.moving {
-		if due := since + m.moveLost(); plan.at == 0 || due < plan.at {
-			plan.at = max(due, now+1)
+	for _, since := range plan.inFlight {
+		if due := since + m.moveTimeout(); plan.dueAt == 0 || due < plan.dueAt {
+			plan.dueAt = max(due, now+1)
 		}
 	}
 }
 
-// moveLost is how long a move is waited for.
-func (m *Machine) moveLost() Time { return moveLost * moveSpare * m.moves.resume }
+// moveTimeout returns how long after its Move a stream must have resumed.
+func (m *Machine) moveTimeout() Time { return moveTimeoutFactor * moveTimeFactor * m.moves.resumeTime }
 
-// forgetMoves frees the places of moves that are over: the request ended, or the
-// next attempt gave no token for too long. One that is still on the server had
-// its Move lost, and is asked again.
-func (m *Machine) forgetMoves(now Time, server string, plan *movePlan) {
-	for _, id := range slices.Sorted(maps.Keys(plan.moving)) {
+// expireMoves ends the moves whose request ended or whose next attempt produced
+// no token before moveTimeout. If the request still runs on the server its Move
+// was lost, and the move is retried.
+func (m *Machine) expireMoves(now Time, server string, plan *movePlan) {
+	for _, id := range slices.Sorted(maps.Keys(plan.inFlight)) {
 		r, ok := m.requests[id]
-		if ok && now < plan.moving[id]+m.moveLost() {
+		if ok && now < plan.inFlight[id]+m.moveTimeout() {
 			continue
 		}
-		delete(plan.moving, id)
-		if ok && runsOn(r, server) {
-			plan.waiting = append(plan.waiting, id)
+		delete(plan.inFlight, id)
+		if ok && isRunningOn(r, server) {
+			plan.pending = append(plan.pending, id)
 		}
 	}
 }
 
-// requestsOn lists the streams on a backend server that may be moved, in order,
-// and counts the requests there that may not.
+// requestsOn returns the streams on a backend server that may be moved, sorted,
+// and the number of requests there that may not.
 func (m *Machine) requestsOn(server string) (streams []request.ID, staying int) {
 	for id, r := range m.requests {
 		switch {
-		case !runsOn(r, server):
-		case movable(r):
+		case !isRunningOn(r, server):
+		case isMovable(r):
 			streams = append(streams, id)
 		default:
 			staying++
@@ -295,31 +303,31 @@
 	return streams, staying
 }
 
-// movable tells whether ending an attempt on purpose keeps every promise. A
-// non-idempotent request would be run a second time by it, from its prompt on;
-// a plain service's call can't be gone on with.
-func movable(r *request.Request) bool { return r.Idempotent && r.Route == "" }
+// isMovable reports whether a request's attempt may be ended on purpose. Moving a
+// non-idempotent request would run it a second time, starting from its prompt,
+// and a call of a plain service can't be resumed.
+func isMovable(r *request.Request) bool { return r.Idempotent && r.Route == "" }
 
-func runsOn(r *request.Request, server string) bool {
+func isRunningOn(r *request.Request, server string) bool {
 	return r.State == request.Dispatched && r.Path.Has(server)
 }
 
-// hasOtherPath tells whether a stream could go on without the server. One that
-// could not is better left where it is: it may still finish in time.
+// hasOtherPath reports whether a stream could continue without the server. If
+// not, it is better left in place, since it may still finish in time.
 func (m *Machine) hasOtherPath(now Time, r *request.Request, server string) bool {
-	want, ok := m.demand(r)
+	want, ok := m.requirements(r)
 	if !ok {
 		return false
 	}
-	_, err := m.router.Standby(m.ask(now, r, want), r.Path, server)
+	_, err := m.router.Standby(m.routeRequest(now, r, want), r.Path, server)
 	return err == nil
 }
 
-// nextMove is when a plan is to be looked at next.
-func (m *Machine) nextMove() (at Time, ok bool) {
+// nextMoveTime returns the time at which the next plan is due, or false if none is.
+func (m *Machine) nextMoveTime() (at Time, ok bool) {
 	for _, plan := range m.moves.plans {
-		if !plan.over && plan.at != 0 && (!ok || plan.at < at) {
-			at, ok = plan.at, true
+		if !plan.finished && plan.dueAt != 0 && (!ok || plan.dueAt < at) {
+			at, ok = plan.dueAt, true
 		}
 	}
 	return at, ok
--- a/internal/core/purity_test.go
+++ b/internal/core/purity_test.go
@@ -13,21 +13,20 @@
 	. "github.com/onsi/gomega"
 )
 
-// forbiddenImports do I/O or hold hidden state.
+// forbiddenImports are packages that do I/O or keep hidden state.
 var forbiddenImports = []string{"net", "os", "io/ioutil", "syscall", "math/rand", "log", "sync", "unsafe"}
 
-// forbiddenCalls read the clock or global random numbers.
+// forbiddenCalls read the clock or a global source of random numbers.
 var forbiddenCalls = []string{
 	"time.Now", "time.Since", "time.Until", "time.Sleep", "time.After", "time.AfterFunc", "time.Tick",
 	"time.NewTimer", "time.NewTicker", "rand.Int", "rand.IntN", "rand.N", "rand.Float64", "rand.Perm",
 	"rand.Shuffle", "rand.Uint64", "rand.Uint32", "rand.Int64", "rand.Int64N", "rand.NormFloat64", "rand.ExpFloat64",
 }
 
-// Symptom: a recorded trace replays to other decisions than were taken.
-// Sequence: code in the core asks the clock, a socket or a global source of
-// random numbers, or lets goroutines race, so its actions depend on more than
-// its events. Cause: nothing in the language forbids it; this test does.
-func TestCoreHasNoInputOrOutput(t *testing.T) {
+// Guards against a replayed trace that reaches other decisions than the recorded
+// VM, because code in the core reads the clock, does I/O, uses global random
+// numbers or starts goroutines.
+func TestCoreDoesNoIO(t *testing.T) {
 	g := NewWithT(t)
 	files := 0
 	err := filepath.WalkDir(".", func(path string, _ fs.DirEntry, err error) error {
@@ -44,7 +43,7 @@
 	g.Expect(files).To(BeNumerically(">", 4))
 }
 
-// impurities lists what a file does that the core may not.
+// impurities returns the forbidden imports, calls and go statements of a file.
 func impurities(t *testing.T, path string) []string {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
--- a/internal/core/reasons_test.go
+++ b/internal/core/reasons_test.go
@@ -14,11 +14,9 @@
 
 var refuseLine = regexp.MustCompile(`(?m)^  refuse \S+ (\w+) (\w+) `)
 
-// Symptom: a caller is told something of the execution that nobody ever
-// checked. Sequence: a reason is added, or a way to refuse with another
-// execution. Cause: no script that shows it. Every pair that is documented is
-// shown by a script, and scripts show no other.
-func TestScriptsShowEveryRefusal(t *testing.T) {
+// Guards against an untested combination of refusal reason and execution. The
+// scripts must show every documented combination and no other.
+func TestScriptsCoverEveryRefusal(t *testing.T) {
 	g := NewWithT(t)
 	paths, err := filepath.Glob("testdata/*.txt")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -34,7 +32,7 @@
 	}
 	for _, reason := range request.Reasons() {
 		for _, execution := range reason.Executions() {
-			g.Expect(shown).To(HaveKey(string(reason)+" "+string(execution)), "no script shows it")
+			g.Expect(shown).To(HaveKey(string(reason)+" "+string(execution)), "no script covers it")
 		}
 	}
 }
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -9,23 +9,24 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrUnknownMessage marks an event or action whose name no type of this
-// program carries.
+// ErrUnknownMessage is returned for an event or action name that this program
+// has no type for.
 var ErrUnknownMessage = eris.New("message name is not known: replay the trace with the version that recorded it, or later")
 
-// ErrMessageBody marks a body that is not of the message's type. A field that
-// isn't known is an error, since dropping it could change a decision unseen.
+// ErrMessageBody is returned for a body that does not decode into the message's
+// type. An unknown field is an error, since ignoring it could silently change a
+// decision.
 var ErrMessageBody = eris.New("message body does not fit its name: correct the line")
 
-// eventTypes and actionTypes are filled while the package is initialised and
-// not changed afterwards.
+// eventTypes and actionTypes map names to types. They are filled during package
+// initialisation and not changed afterwards.
 var (
 	eventTypes  = make(map[string]reflect.Type)
 	actionTypes = make(map[string]reflect.Type)
 )
 
-// registerEvents makes events known by name. Each file that declares events
-// registers them beside their declaration; a test fails for one left out.
+// registerEvents registers event types by name. Each file registers the events
+// that it declares; TestEveryMessageIsRegistered fails if one is missing.
 func registerEvents(events ...Event) struct{} {
 	for _, event := range events {
 		register(eventTypes, event.EventName(), reflect.TypeOf(event))
@@ -33,7 +34,7 @@
 	return struct{}{}
 }
 
-// registerActions makes actions known by name, as registerEvents does for events.
+// registerActions registers action types by name, like registerEvents.
 func registerActions(actions ...Action) struct{} {
 	for _, action := range actions {
 		register(actionTypes, action.ActionName(), reflect.TypeOf(action))
@@ -48,7 +49,7 @@
 	types[name] = message
 }
 
-// DecodeEvent reads the JSON body of the named event. An error wraps
+// DecodeEvent decodes the JSON body of the named event. An error wraps
 // ErrUnknownMessage or ErrMessageBody.
 func DecodeEvent(name string, body []byte) (Event, error) {
 	value, err := decodeMessage(eventTypes, name, body)
@@ -58,7 +59,7 @@
 	return value.Interface().(Event), nil
 }
 
-// DecodeAction reads the JSON body of the named action. An error wraps
+// DecodeAction decodes the JSON body of the named action. An error wraps
 // ErrUnknownMessage or ErrMessageBody.
 func DecodeAction(name string, body []byte) (Action, error) {
 	value, err := decodeMessage(actionTypes, name, body)
--- a/internal/core/registry_test.go
+++ b/internal/core/registry_test.go
@@ -17,9 +17,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/config"
 )
 
-// Symptom: a recording of a VM can't be replayed: "message name is not known".
-// Sequence: a new event or action is added to the core and recorded. Cause: its
-// type was not registered under its name.
+// Guards against a recorded trace that can't be replayed ("message name is not
+// known") because a new event or action type was not registered.
 func TestEveryMessageIsRegistered(t *testing.T) {
 	g := NewWithT(t)
 	declared := declaredMessages(t)
@@ -29,8 +28,8 @@
 	g.Expect(registeredNames(actionTypes)).To(ConsistOf(declared["ActionName"]), "registerActions")
 }
 
-// declaredMessages lists the types of this package which have a method
-// EventName or ActionName, by method.
+// declaredMessages returns the names of this package's types with methods, by
+// method name.
 func declaredMessages(t *testing.T) map[string][]string {
 	g := NewWithT(t)
 	files, err := filepath.Glob("*.go")
@@ -63,10 +62,9 @@
 	return names
 }
 
-// Symptom: a replay takes other decisions than the recorded VM did. Sequence: an
-// event is written to a trace and read back. Cause: a field of it does not
-// survive JSON, because it isn't exported, has no tag or shares one.
-func TestEveryMessageSurvivesItsTrace(t *testing.T) {
+// Guards against a replay that reaches other decisions because a field of a
+// message is lost in JSON: unexported, without a tag, or with a duplicate tag.
+func TestEveryMessageRoundTripsThroughJSON(t *testing.T) {
 	for name, message := range eventTypes {
 		t.Run(name, func(t *testing.T) {
 			want := filled(message)
@@ -87,15 +85,15 @@
 	}
 }
 
-// filled makes a value of a type with no field left at zero.
+// filled returns a value of a type with every exported field non-zero.
 func filled(of reflect.Type) reflect.Value {
 	value := reflect.New(of).Elem()
 	fill(value, 1)
 	return value
 }
 
-// filledSet has a record of every kind. A set is built, not filled: what it is
-// looked up by follows from its records.
+// filledSet returns a config.Set with a record of every kind. It is built rather
+// than filled, since its lookup indexes are derived from its records.
 func filledSet() *config.Set {
 	specs := map[api.Kind]any{
 		api.KindModel:         api.ModelSpec{},
@@ -163,7 +161,7 @@
 	}
 }
 
-func TestBrokenMessageIsRefused(t *testing.T) {
+func TestInvalidMessageIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	_, err := DecodeEvent("no_such_event", []byte("{}"))
 	g.Expect(err).To(MatchError(ErrUnknownMessage))
--- a/internal/core/requests_arrival.go
+++ b/internal/core/requests_arrival.go
@@ -40,25 +40,26 @@
 	r := newRequest(e)
 	m.note(now, r, Note{Step: StepArrived, Until: r.Deadline})
 	if m.refusedOnArrival(now, r) {
-		return m.settled(now)
+		return m.finishStep(now)
 	}
 	m.requests[r.ID] = r
-	m.offer(now, r, false)
-	return m.settled(now)
+	m.requestSlot(now, r, false)
+	return m.finishStep(now)
 }
 
-// refusedOnArrival refuses what can't or may not run whatever the load.
+// refusedOnArrival refuses a request that can't or may not run regardless of the
+// load, and reports whether it did.
 func (m *Machine) refusedOnArrival(now Time, r *request.Request) bool {
 	switch {
-	case m.set.Release == 0:
-		m.refuse(now, r, request.ReasonNoConfiguration, request.NotRun, retryNoConfiguration)
+	case m.config.Release == 0:
+		m.refuse(now, r, request.ReasonNoConfiguration, request.NotRun, retryAfterNoConfiguration)
 	case !m.assignPool(r):
 		m.refuse(now, r, request.ReasonUnknownPipeline, request.NotRun, 0)
 	case now >= r.Deadline:
 		m.refuse(now, r, request.ReasonDeadline, request.NotRun, 0)
-	case m.life.poison.Level(now, bodyOf(r)) == poison.Condemned:
+	case m.lifecycle.poison.Level(now, bodyOf(r)) == poison.Condemned:
 		m.refuse(now, r, request.ReasonPoison, request.Ran, 0)
-	case r.KeyGiven && r.Idempotent && r.BodyHash != 0 && !m.life.keys.Use(now, r.Account, r.Key, r.BodyHash):
+	case r.KeyGiven && r.Idempotent && r.BodyHash != 0 && !m.lifecycle.keys.Use(now, r.Account, r.Key, r.BodyHash):
 		m.refuse(now, r, request.ReasonBodyDiffers, request.NotRun, 0)
 	default:
 		return false
@@ -67,7 +68,7 @@
 }
 
 func (m *Machine) assignPool(r *request.Request) bool {
-	want, ok := m.demand(r)
+	want, ok := m.requirements(r)
 	if !ok {
 		return false
 	}
@@ -78,15 +79,16 @@
 	return true
 }
 
-// offer asks for a slot. Again says that the request was admitted before, so
+// requestSlot asks admission control for a slot, and starts, queues or refuses the
+// request accordingly. readmitted says that the request was admitted before, so
 // that it isn't counted twice against its account's rate.
-func (m *Machine) offer(now Time, r *request.Request, again bool) {
-	spec, _ := m.set.Account(r.Account)
+func (m *Machine) requestSlot(now Time, r *request.Request, readmitted bool) {
+	spec, _ := m.config.Account(r.Account)
 	limits := admit.Limits{Weight: spec.Weight, PerSecond: spec.RequestsPerSecond, Burst: spec.Burst}
-	if limits.PerSecond > 0 && m.life.usageAt == 0 {
-		m.life.usageAt = now + usageInterval
+	if limits.PerSecond > 0 && m.lifecycle.nextUsageAt == 0 {
+		m.lifecycle.nextUsageAt = now + usageInterval
 	}
-	decision := m.life.admission.Offer(now, admit.Item{
+	decision := m.lifecycle.admission.Offer(now, admit.Item{
 		ID:           r.ID,
 		Account:      r.Account,
 		Pool:         r.Pool,
@@ -94,21 +96,21 @@
 		Deadline:     r.Deadline,
 		PromptTokens: r.PromptTokens,
 		MaxTokens:    r.MaxTokens,
-		Again:        again,
+		Again:        readmitted,
 	}, limits)
 	for _, evicted := range decision.Evicted {
-		m.end(now, m.requests[evicted.ID], request.ReasonOverloaded, evicted.RetryAfter)
+		m.endRefused(now, m.requests[evicted.ID], request.ReasonOverloaded, evicted.RetryAfter)
 	}
 	switch {
 	case decision.Start:
 		m.start(now, r)
 	case decision.Reason != "":
-		m.end(now, r, decision.Reason, decision.RetryAfter)
+		m.endRefused(now, r, decision.Reason, decision.RetryAfter)
 	default:
 		r.Move(request.Queued)
 		m.waitUntil(r, r.Deadline)
 		m.note(now, r, Note{Step: StepQueued, Until: r.Deadline, Text: queueText(decision.Wait)})
-		m.free(r.Pool)
+		m.markFreed(r.Pool)
 	}
 }
 
@@ -119,15 +121,16 @@
 	return fmt.Sprintf("every slot is taken, about %v to wait", wait.Round(time.Millisecond))
 }
 
-// start takes a request that was given a slot on to its dispatch.
+// start claims or dispatches a request that got a slot, or parks or refuses it
+// because of its body.
 func (m *Machine) start(now Time, r *request.Request) {
 	r.Slot = true
 	body := bodyOf(r)
-	m.life.running[body]++
-	switch level := m.life.poison.Level(now, body); {
+	m.lifecycle.running[body]++
+	switch level := m.lifecycle.poison.Level(now, body); {
 	case level == poison.Condemned:
-		m.endAs(now, r, request.ReasonPoison, request.Ran, 0)
-	case level >= poison.Suspect && (m.life.running[body] > 1 || m.life.poison.Waiting(body)):
+		m.endRefusedAs(now, r, request.ReasonPoison, request.Ran, 0)
+	case level >= poison.Suspect && (m.lifecycle.running[body] > 1 || m.lifecycle.poison.Waiting(body)):
 		m.park(now, r)
 	case !r.Idempotent:
 		m.claim(now, r)
@@ -136,47 +139,47 @@
 	}
 }
 
-// park makes a request with a suspect body wait until no other with the same
-// body runs and no verdict on it is due: if the body does crash servers, it
-// then crashes one at a time.
+// park makes a request with a suspect body wait until no other request with the
+// same body runs and no verdict on the body is pending, so that a body that does
+// crash servers crashes only one at a time.
 func (m *Machine) park(now Time, r *request.Request) {
-	m.giveUpSlot(now, r, false)
+	m.releaseSlot(now, r, false)
 	body := bodyOf(r)
-	m.life.parked[body] = append(m.life.parked[body], r.ID)
+	m.lifecycle.parked[body] = append(m.lifecycle.parked[body], r.ID)
 	r.Move(request.Queued)
 	m.waitUntil(r, r.Deadline)
 	m.note(now, r, Note{Step: StepIsolated, Until: r.Deadline, Text: "its body is suspected of crashing a server; it waits until no other request with it runs and no verdict is due"})
 }
 
-// unpark lets parked requests ask for a slot: the next one, or all of them once
-// the body was acquitted.
+// unpark lets the parked requests of the released bodies ask for a slot: one at a
+// time while the body is suspect, all of them once it is cleared.
 func (m *Machine) unpark(now Time) {
-	for len(m.life.unparked) > 0 {
-		body := m.life.unparked[0]
-		m.life.unparked = m.life.unparked[1:]
-		waiting := slices.Clone(m.life.parked[body])
+	for len(m.lifecycle.releasedBodies) > 0 {
+		body := m.lifecycle.releasedBodies[0]
+		m.lifecycle.releasedBodies = m.lifecycle.releasedBodies[1:]
+		waiting := slices.Clone(m.lifecycle.parked[body])
 		for _, id := range waiting {
-			suspect := m.life.poison.Level(now, body) >= poison.Suspect
-			if suspect && (m.life.running[body] > 0 || m.life.poison.Waiting(body)) {
+			suspect := m.lifecycle.poison.Level(now, body) >= poison.Suspect
+			if suspect && (m.lifecycle.running[body] > 0 || m.lifecycle.poison.Waiting(body)) {
 				break
 			}
 			r := m.requests[id]
-			m.leaveParked(r)
-			m.offer(now, r, true)
+			m.removeParked(r)
+			m.requestSlot(now, r, true)
 		}
 	}
 }
 
-func (m *Machine) leaveParked(r *request.Request) {
+func (m *Machine) removeParked(r *request.Request) {
 	body := bodyOf(r)
-	parked, ok := m.life.parked[body]
+	parked, ok := m.lifecycle.parked[body]
 	if !ok {
 		return
 	}
 	parked = slices.DeleteFunc(parked, func(id request.ID) bool { return id == r.ID })
 	if len(parked) == 0 {
-		delete(m.life.parked, body)
+		delete(m.lifecycle.parked, body)
 		return
 	}
-	m.life.parked[body] = parked
+	m.lifecycle.parked[body] = parked
 }
--- a/internal/core/requests_bench_test.go
+++ b/internal/core/requests_bench_test.go
@@ -15,7 +15,7 @@
 	"oleandershunt.example/oleandershunt/internal/testutil"
 )
 
-// benchMachine has 30 servers of two stages in force.
+// benchMachine returns a machine with a configuration of 30 servers in two stages.
 func benchMachine(b *testing.B) *core.Machine {
 	var documents []api.Document
 	add := func(kind api.Kind, name string, spec any) {
@@ -40,7 +40,7 @@
 	}
 	m := core.New(core.Options{
 		DataCentre: "d1", VM: "a", Policy: route.PolicyLeastInFlight, Seed: 1, MaxAttempts: 4,
-		// Every request may be repeated once, so that the budget holds none back.
+		// Every request may be retried once, so that the retry budget delays none.
 		Requests: core.RequestOptions{Retries: request.BudgetOptions{Ratio: 1}},
 	})
 	m.Step(0, core.ConfigInForce{Set: set})
@@ -54,8 +54,8 @@
 	}
 }
 
-// BenchmarkRequest is the cost of all decisions on one request: its arrival,
-// dispatch and end, and a claim where it isn't idempotent, or one lost attempt.
+// BenchmarkRequest measures the cost of all decisions on one request: its arrival,
+// dispatch and completion, with a claim ("claimed") or one retry ("resumed").
 func BenchmarkRequest(b *testing.B) {
 	kinds := map[string]func(m *core.Machine, now core.Time, id request.ID){
 		"answered": func(m *core.Machine, now core.Time, id request.ID) {
@@ -92,7 +92,8 @@
 	}
 }
 
-// BenchmarkRequestMemory reports the bytes of the core's state for one request in flight.
+// BenchmarkRequestMemory reports the size of the core's state in bytes per request
+// in flight.
 func BenchmarkRequestMemory(b *testing.B) {
 	const inFlight = 900
 	for range b.N {
--- a/internal/core/requests_claims.go
+++ b/internal/core/requests_claims.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// claimPatience is how long the answer to a claim is awaited.
-	claimPatience = 5 * time.Second
-	// retryClaim is what a caller is told when its key could not be decided:
-	// about the time that a successor takes to own the key's shard.
-	retryClaim = 2 * time.Second
-	// retryRunning is when to ask again for a key whose request is being run.
-	retryRunning = time.Second
+	// claimTimeout is how long to wait for the answer to a claim.
+	claimTimeout = 5 * time.Second
+	// retryAfterClaim is the Retry-After when a key could not be decided: about the
+	// time that a successor takes to own the key's shard.
+	retryAfterClaim = 2 * time.Second
+	// retryAfterRunning is the Retry-After for a key whose request is still running.
+	retryAfterRunning = time.Second
 )
 
 func claimKey(r *request.Request) ClaimKey {
@@ -24,14 +24,15 @@
 	return ClaimKey{Account: r.Account, Key: key}
 }
 
-// claim asks for the one permission to dispatch a non-idempotent request.
+// claim asks the key's owner for the permission to dispatch a non-idempotent
+// request, which is granted to one request only.
 func (m *Machine) claim(now Time, r *request.Request) {
 	r.Move(request.Claiming)
 	r.Claimed = true
-	until := min(r.Deadline, now+claimPatience)
+	until := min(r.Deadline, now+claimTimeout)
 	m.waitUntil(r, until)
 	m.note(now, r, Note{Step: StepClaiming, Until: until})
-	account, _ := m.set.Account(r.Account)
+	account, _ := m.config.Account(r.Account)
 	m.emit(Claim{
 		Request:    r.ID,
 		Key:        claimKey(r),
@@ -41,13 +42,13 @@
 	})
 }
 
-// claimDecided takes the answer to a claim. An answer that comes after the
-// request was given up changes nothing: ClaimSettled has freed the key by then.
+// claimDecided handles the answer to a claim. An answer that arrives after the
+// request has ended is ignored, since ClaimSettled has already freed the key.
 func (m *Machine) claimDecided(now Time, e ClaimDecided) []Action {
 	r, ok := m.requests[e.Request]
 	if !ok || r.State != request.Claiming {
-		m.lateWord(now, e.Request, 0, "answer to a claim")
-		return m.settled(now)
+		m.noteLateReport(now, e.Request, 0, "answer to a claim")
+		return m.finishStep(now)
 	}
 	r.Wake = 0
 	if e.Verdict == VerdictGranted {
@@ -55,38 +56,39 @@
 		r.ValidUntil = e.ValidUntil
 		m.note(now, r, Note{Step: StepClaimed, Until: e.ValidUntil})
 		m.dispatch(now, r)
-		return m.settled(now)
+		return m.finishStep(now)
 	}
 	r.Claimed = false
-	if told, ok := claimRefusals[e.Verdict]; ok {
-		m.endAs(now, r, told.reason, told.execution, told.retryAfter)
+	if refusal, ok := claimRefusals[e.Verdict]; ok {
+		m.endRefusedAs(now, r, refusal.reason, refusal.execution, refusal.retryAfter)
 	} else {
 		m.claimUndecided(now, r)
 	}
-	return m.settled(now)
+	return m.finishStep(now)
 }
 
-// claimUndecided refuses a request whose key no owner decided. It is not asked
-// once more whether the key ran: that is what could not be found out.
+// claimUndecided refuses a request whose key no owner decided. It sends no Peek
+// to find out whether the key ran, since no owner could answer the claim either.
 func (m *Machine) claimUndecided(now Time, r *request.Request) {
 	execution := request.NotRun
 	if r.MayBeRepeat(now) {
 		execution = request.MayHaveRun
 	}
-	m.endAs(now, r, request.ReasonClaimUndecided, execution, retryClaim)
+	m.endRefusedAs(now, r, request.ReasonClaimUndecided, execution, retryAfterClaim)
 }
 
-// refusal is what a caller is told.
+// refusal is the content of a Refuse action.
 type refusal struct {
 	reason     request.Reason
 	execution  request.Execution
 	retryAfter time.Duration
 }
 
-// claimRefusals says what a caller is told of each verdict but VerdictGranted
-// and VerdictUndecided. Execution is what is known of the request that holds the key.
+// claimRefusals has the refusal for each verdict other than VerdictGranted,
+// VerdictUndecided and VerdictFree. Its execution is that of the request that
+// holds the key.
 var claimRefusals = map[Verdict]refusal{
-	VerdictRunning:     {request.ReasonKeyRunning, request.MayHaveRun, retryRunning},
+	VerdictRunning:     {request.ReasonKeyRunning, request.MayHaveRun, retryAfterRunning},
 	VerdictRan:         {request.ReasonKeyRan, request.Ran, 0},
 	VerdictMayHaveRun:  {request.ReasonKeyMayHaveRun, request.MayHaveRun, 0},
 	VerdictBodyDiffers: {request.ReasonBodyDiffers, request.NotRun, 0},
--- a/internal/core/requests_confirm.go
+++ b/internal/core/requests_confirm.go
@@ -8,86 +8,87 @@
 )
 
 const (
-	// confirmWait is how long the VM has to answer ConfirmSuspicion.
-	confirmWait = 500 * time.Millisecond
-	// confirmInterval is the pause before the same is asked again.
-	confirmInterval = 200 * time.Millisecond
-	// confirmPatience is how long a request whose body was lost with several
-	// servers waits for VMs that don't answer. It covers finding out that they
-	// are gone.
-	confirmPatience = 3 * time.Second
+	// confirmAttemptTimeout is how long the VM has to answer one ConfirmSuspicion.
+	confirmAttemptTimeout = 500 * time.Millisecond
+	// confirmRetryInterval is the pause before ConfirmSuspicion is sent again.
+	confirmRetryInterval = 200 * time.Millisecond
+	// confirmTimeout is how long a request whose body was on several lost servers
+	// waits for VMs that don't answer. It covers the time to detect that they
+	// have failed.
+	confirmTimeout = 3 * time.Second
 )
 
-// confirmed tells whether a request may be dispatched, as far as other VMs may
-// know of crashes by its body. Where they may it asks them first: a caller who
-// sends a body to VM after VM would otherwise crash servers on each until word
-// has spread.
-func (m *Machine) confirmed(now Time, r *request.Request) bool {
-	crashes := m.life.poison.Crashes(now, bodyOf(r))
-	if crashes == 0 || r.Confirmed > r.Attempt || goesOnUnasked(r, crashes) {
+// checkSuspicion reports whether a request may be dispatched without asking the
+// other VMs about crashes by its body. If not, it sends ConfirmSuspicion and makes
+// the request wait. Otherwise a caller that sends a body to one VM after another
+// could crash servers through each of them until the findings have spread.
+func (m *Machine) checkSuspicion(now Time, r *request.Request) bool {
+	crashes := m.lifecycle.poison.Crashes(now, bodyOf(r))
+	if crashes == 0 || r.Confirmed > r.Attempt || mayContinueUnconfirmed(r, crashes) {
 		return true
 	}
 	if r.ConfirmBy == 0 {
-		r.ConfirmBy = min(now+confirmPatience, r.Deadline)
+		r.ConfirmBy = min(now+confirmTimeout, r.Deadline)
 	}
 	r.Confirming = true
 	r.Move(request.Resuming)
-	m.waitUntil(r, min(now+confirmWait, r.Deadline))
+	m.waitUntil(r, min(now+confirmAttemptTimeout, r.Deadline))
 	m.note(now, r, Note{Step: StepWaiting, Until: r.ConfirmBy, Text: "its body may have crashed a server; the other VMs are asked what they know of it"})
 	m.emit(ConfirmSuspicion{Request: r.ID})
 	return false
 }
 
-// goesOnUnasked tells whether a request is only suspected of its own first loss,
-// or of a second after which it went on well: most such losses are not the
-// request's fault, and its stream pauses meanwhile.
-func goesOnUnasked(r *request.Request, crashes int) bool {
+// mayContinueUnconfirmed reports whether a request is suspected only because of
+// its own first loss, or of a second one before which it had made progress. Most
+// such losses are not the request's fault, and asking would pause its stream.
+func mayContinueUnconfirmed(r *request.Request, crashes int) bool {
 	if crashes > r.Losses {
 		return false
 	}
-	return crashes < doubtfulCrashes || crashes == doubtfulCrashes && r.Progress >= poison.ProgressTokens
+	return crashes < crashesNeedingProof || crashes == crashesNeedingProof && r.Progress >= poison.ProgressTokens
 }
 
 func (m *Machine) suspicionConfirmed(now Time, e SuspicionConfirmed) []Action {
 	r, ok := m.requests[e.Request]
 	if !ok || !r.Confirming || r.State != request.Resuming {
-		return m.settled(now)
+		return m.finishStep(now)
 	}
 	if len(e.Missing) > 0 {
-		m.unconfirmed(now, r)
-		return m.settled(now)
+		m.confirmationFailed(now, r)
+		return m.finishStep(now)
 	}
 	r.Confirming, r.Alone, r.ConfirmBy = false, false, 0
 	r.Confirmed = r.Attempt + 1
 	r.Wake = 0
-	m.afterConfirm(now, r)
-	return m.settled(now)
+	m.confirmationDone(now, r)
+	return m.finishStep(now)
 }
 
-// unconfirmed decides on a request whose body other VMs may know more of than
-// this one. After one crash it may run, alone on its servers; after more it
-// asks again for a while, and is then refused.
-func (m *Machine) unconfirmed(now Time, r *request.Request) {
+// confirmationFailed decides on a request whose body other VMs may know more
+// about, as not all of them answered. After one crash the request may run, on
+// servers without another isolated attempt. After more it asks again, and is
+// refused after confirmTimeout.
+func (m *Machine) confirmationFailed(now Time, r *request.Request) {
 	r.Confirming = false
 	r.Wake = 0
 	switch {
-	case m.life.poison.Crashes(now, bodyOf(r)) < doubtfulCrashes:
+	case m.lifecycle.poison.Crashes(now, bodyOf(r)) < crashesNeedingProof:
 		r.Confirmed, r.Alone = r.Attempt+1, true
-		m.afterConfirm(now, r)
+		m.confirmationDone(now, r)
 	case now >= r.ConfirmBy && now < r.Deadline:
-		m.end(now, r, request.ReasonAttempts, proofPatience)
+		m.endRefused(now, r, request.ReasonAttempts, proofTimeout)
 	default:
-		m.waitUntil(r, min(now+confirmInterval, r.Deadline))
+		m.waitUntil(r, min(now+confirmRetryInterval, r.Deadline))
 	}
 }
 
-// afterConfirm goes on with a request as what was learned allows. A body that
-// waits for proof or a verdict, here or elsewhere, waits once before each
-// attempt, and the others are asked anew after it.
-func (m *Machine) afterConfirm(now Time, r *request.Request) {
-	if r.Awaited <= r.Attempt && now < r.Deadline && m.life.poison.Waiting(bodyOf(r)) {
+// confirmationDone continues with a request after a confirmation. If proof or a
+// verdict on its body is pending, here or on another VM, the request waits for it
+// once before each attempt and then asks the other VMs again.
+func (m *Machine) confirmationDone(now Time, r *request.Request) {
+	if r.Awaited <= r.Attempt && now < r.Deadline && m.lifecycle.poison.Waiting(bodyOf(r)) {
 		r.Confirmed = 0
-		m.awaitProof(now, r, min(now+proofPatience, r.Deadline))
+		m.awaitProof(now, r, min(now+proofTimeout, r.Deadline))
 		return
 	}
 	m.resume(now, r)
--- a/internal/core/requests_dispatch.go
+++ b/internal/core/requests_dispatch.go
@@ -14,49 +14,52 @@
 )
 
 const (
-	// maxCrashes bounds the servers that one body may take with it, as far as
-	// this VM knows: it ends here even when nothing proves that it crashes them.
+	// maxCrashes limits the servers that one body may have crashed as far as this
+	// VM knows. The request then ends even without proof that it crashes servers.
 	maxCrashes = 3
-	// doubtfulCrashes is how many make proof worth waiting for.
-	doubtfulCrashes = 2
-	// pathPatience is how long a request that was dispatched before waits for
-	// a path to come back.
-	pathPatience = 3 * time.Second
-	// pathInterval is how often it looks for one.
-	pathInterval = 200 * time.Millisecond
+	// crashesNeedingProof is the number of possible crashes from which a request
+	// waits for proof.
+	crashesNeedingProof = 2
+	// pathTimeout is how long a request that was dispatched before waits for a
+	// path to become available.
+	pathTimeout = 3 * time.Second
+	// pathRetryInterval is how often it looks for a path.
+	pathRetryInterval = 200 * time.Millisecond
 )
 
-// demand says what a request needs from its path.
-type demand struct {
+// requirements is what a request requires of its path.
+type requirements struct {
 	model   string
 	version string
 	layers  int
 	service string
 }
 
-// dispatch starts an attempt, unless a reason speaks against it.
+// dispatch starts an attempt if the request may still run, and otherwise refuses
+// it or makes it wait.
 func (m *Machine) dispatch(now Time, r *request.Request) {
 	switch {
 	case now >= r.Deadline:
-		m.end(now, r, request.ReasonDeadline, 0)
+		m.endRefused(now, r, request.ReasonDeadline, 0)
 		return
 	case r.Failures() >= m.options.MaxAttempts:
-		m.end(now, r, request.ReasonAttempts, retryAttempts)
+		m.endRefused(now, r, request.ReasonAttempts, retryAfterAttempts)
 		return
 	case !r.Idempotent && now >= r.ValidUntil:
-		// A pause between the grant and now may have let a successor decide.
-		m.end(now, r, request.ReasonClaimExpired, retryClaim)
+		// If this VM was paused since the grant, a new owner of the shard may have
+		// granted the key to another request.
+		m.endRefused(now, r, request.ReasonClaimExpired, retryAfterClaim)
 		return
 	}
-	want, ok := m.demand(r)
+	want, ok := m.requirements(r)
 	if !ok {
-		m.end(now, r, request.ReasonUnknownPipeline, 0)
+		m.endRefused(now, r, request.ReasonUnknownPipeline, 0)
 		return
 	}
-	if !m.confirmed(now, r) {
+	if !m.checkSuspicion(now, r) {
 		return
 	}
-	path, err := m.choose(now, r, want)
+	path, err := m.choosePath(now, r, want)
 	if err != nil {
 		m.noPath(now, r, err)
 		return
@@ -64,9 +67,9 @@
 	m.send(now, r, want, path)
 }
 
-func (m *Machine) send(now Time, r *request.Request, want demand, path route.Path) {
+func (m *Machine) send(now Time, r *request.Request, want requirements, path route.Path) {
 	if r.Attempt == 0 {
-		m.life.budget.Earn()
+		m.lifecycle.retryBudget.Earn()
 	}
 	r.Move(request.Dispatched)
 	r.Attempt++
@@ -87,39 +90,40 @@
 	r.Version = want.version
 }
 
-// demand looks up what a request needs. Once tokens were delivered the model
-// version stays, since an answer comes from one version.
-func (m *Machine) demand(r *request.Request) (demand, bool) {
+// requirements looks up what a request requires, or returns false if its pipeline
+// or route does not exist. Once tokens were delivered the model version is fixed,
+// since one answer must come from one version.
+func (m *Machine) requirements(r *request.Request) (requirements, bool) {
 	if r.Route != "" {
-		spec, ok := m.set.Routes[r.Route]
-		return demand{service: spec.Service}, ok
+		spec, ok := m.config.Routes[r.Route]
+		return requirements{service: spec.Service}, ok
 	}
-	pipeline, ok := m.set.Pipelines[r.Pipeline]
+	pipeline, ok := m.config.Pipelines[r.Pipeline]
 	if !ok {
-		return demand{}, false
+		return requirements{}, false
 	}
-	model, ok := m.set.Models[pipeline.Model]
-	want := demand{model: pipeline.Model, version: m.servingVersion(pipeline.Model, model), layers: model.Layers}
+	model, ok := m.config.Models[pipeline.Model]
+	want := requirements{model: pipeline.Model, version: m.servingVersion(pipeline.Model, model), layers: model.Layers}
 	if r.Tokens > 0 {
 		want.version = r.Version
 	}
 	return want, ok
 }
 
-func (m *Machine) choose(now Time, r *request.Request, want demand) (route.Path, error) {
-	r.Isolated = r.Alone || m.mayCrash(now, r) || m.life.poison.Level(now, bodyOf(r)) >= poison.Isolate
-	ask := m.ask(now, r, want)
+func (m *Machine) choosePath(now Time, r *request.Request, want requirements) (route.Path, error) {
+	r.Isolated = r.Alone || m.isCrashSuspect(now, r) || m.lifecycle.poison.Level(now, bodyOf(r)) >= poison.Isolate
+	query := m.routeRequest(now, r, want)
 	if r.Isolated {
-		ask.Faulty = slices.Concat(r.Faulty, slices.Sorted(maps.Keys(m.life.isolated)))
+		query.Faulty = slices.Concat(r.Faulty, slices.Sorted(maps.Keys(m.lifecycle.isolated)))
 	}
 	if len(r.Path) == 0 || want.service != "" {
-		return m.router.Choose(ask)
+		return m.router.Choose(query)
 	}
-	return m.router.Reroute(ask, r.Path, r.Avoid)
+	return m.router.Reroute(query, r.Path, r.Avoid)
 }
 
-// ask tells the router what a request needs.
-func (m *Machine) ask(now Time, r *request.Request, want demand) route.Request {
+// routeRequest returns the router's description of what a request requires.
+func (m *Machine) routeRequest(now Time, r *request.Request, want requirements) route.Request {
 	return route.Request{
 		ID:        string(r.ID),
 		Now:       now,
@@ -137,26 +141,27 @@
 	}
 }
 
-// noPath refuses a request that has no path. One that was dispatched before
-// waits a little, since its caller has part of the answer and a server that
-// was lost may be back; so does one that must run isolated.
+// noPath handles a request for which there is no path. A request that was not
+// dispatched yet is refused. One that was dispatched before first waits, since its
+// caller has part of the answer and a lost server may come back; so does one that
+// must run isolated.
 func (m *Machine) noPath(now Time, r *request.Request, err error) {
 	if r.Patience == 0 {
-		r.Patience = now + pathPatience
+		r.Patience = now + pathTimeout
 	}
-	if r.Isolated && len(m.life.isolated) > 0 {
+	if r.Isolated && len(m.lifecycle.isolated) > 0 {
 		r.Patience = r.Deadline
 	}
 	waits := r.Attempt > 0 || r.Isolated
 	if !waits || now >= r.Patience {
-		m.end(now, r, request.ReasonNoPath, retryNoPath)
+		m.endRefused(now, r, request.ReasonNoPath, retryAfterNoPath)
 		return
 	}
-	// A server that failed once is better than none, should it come back. The
-	// old path is forgotten with its failures, or its lost stages would count
-	// as living ones.
+	// A server that failed once is better than none if it recovers, so Avoid is
+	// cleared. Path must be cleared with it, or its lost stages would be taken for
+	// live ones.
 	r.Avoid, r.Path = nil, nil
-	until := min(now+pathInterval, r.Deadline)
+	until := min(now+pathRetryInterval, r.Deadline)
 	r.Move(request.Resuming)
 	m.waitUntil(r, until)
 	m.note(now, r, Note{Step: StepWaiting, Until: r.Patience, Text: pathText(err)})
@@ -173,30 +178,31 @@
 func (m *Machine) attemptEnded(now Time, e AttemptEnded) []Action {
 	r, ok := m.requests[e.Request]
 	if !ok || e.Attempt != r.Attempt || r.State != request.Dispatched {
-		// A late word about an attempt that has been given up. Acting on it
+		// A late report on an attempt that is no longer current. Acting on it
 		// would start a second attempt beside the current one.
-		m.lateWord(now, e.Request, e.Attempt, "end of an attempt: "+string(e.Outcome))
-		return m.settled(now)
+		m.noteLateReport(now, e.Request, e.Attempt, "end of an attempt: "+string(e.Outcome))
+		return m.finishStep(now)
 	}
-	m.takeOutcome(now, r, e)
+	m.recordOutcome(now, r, e)
 	switch {
 	case e.Outcome == request.Completed:
 		m.complete(now, r)
 	case now >= r.Deadline:
-		m.end(now, r, request.ReasonDeadline, 0)
+		m.endRefused(now, r, request.ReasonDeadline, 0)
 	case !r.MayRepeat():
-		m.end(now, r, request.ReasonNotRepeatable, 0)
+		m.endRefused(now, r, request.ReasonNotRepeatable, 0)
 	case e.Outcome == request.Moved:
-		// Nothing failed, so nothing is spent of the budget for retries.
+		// Nothing failed, so the retry budget is not charged.
 		m.resume(now, r)
 	default:
-		m.repeat(now, r)
+		m.retry(now, r)
 	}
-	return m.settled(now)
+	return m.finishStep(now)
 }
 
-// takeOutcome takes what an attempt proved.
-func (m *Machine) takeOutcome(now Time, r *request.Request, e AttemptEnded) {
+// recordOutcome records what an attempt proved about the request, its path, the
+// health of its server and the pool's load.
+func (m *Machine) recordOutcome(now Time, r *request.Request, e AttemptEnded) {
 	progress := e.Tokens - r.Tokens
 	suspect := r.Record(e.Outcome, e.Server, e.Tokens)
 	r.Suspect(e.Suspects)
@@ -214,42 +220,43 @@
 	}
 	m.note(now, r, note)
 	if suspect {
-		m.serverLost(now, r, e.Server, progress)
+		m.reportLoss(now, r, e.Server, progress)
 	}
-	if e.Outcome == request.ProvenNotRun && m.alive(e.Server) {
-		m.life.admission.ServerRefused(r.Pool)
+	if e.Outcome == request.ProvenNotRun && m.isLive(e.Server) {
+		m.lifecycle.admission.ServerRefused(r.Pool)
 	}
 }
 
-// alive tells whether nothing speaks against a server's health. A refusal of a
-// server in doubt says nothing of how full it is.
-func (m *Machine) alive(server string) bool {
+// isLive reports whether a server is known and in state fleet.Live. A refusal by
+// any other server is no evidence of its load.
+func (m *Machine) isLive(server string) bool {
 	status, ok := m.fleet.view.Status(server)
 	return ok && status.State == fleet.Live
 }
 
 func (m *Machine) complete(now Time, r *request.Request) {
 	r.Execution = request.Ran
-	m.life.poison.Acquit(bodyOf(r))
+	m.lifecycle.poison.Acquit(bodyOf(r))
 	m.note(now, r, Note{Step: StepCompleted, Servers: serverNames(r.Path), Execution: request.Ran})
 	m.finish(now, r, true)
 }
 
-// repeat decides when the next attempt starts, or that there is none.
-func (m *Machine) repeat(now Time, r *request.Request) {
+// retry decides when the next attempt starts, or refuses the request if it may
+// not be retried.
+func (m *Machine) retry(now Time, r *request.Request) {
 	if r.Failures() >= m.options.MaxAttempts {
-		m.end(now, r, request.ReasonAttempts, retryAttempts)
+		m.endRefused(now, r, request.ReasonAttempts, retryAfterAttempts)
 		return
 	}
-	wait, ok := m.life.budget.Spend(now, len(m.requests))
+	wait, ok := m.lifecycle.retryBudget.Spend(now, len(m.requests))
 	if !ok {
-		m.end(now, r, request.ReasonRetryBudget, max(wait, time.Second))
+		m.endRefused(now, r, request.ReasonRetryBudget, max(wait, time.Second))
 		return
 	}
 	wait = max(wait, r.Backoff())
 	switch {
 	case m.needsProof(now, r):
-		m.awaitProof(now, r, min(now+max(wait, proofPatience), r.Deadline))
+		m.awaitProof(now, r, min(now+max(wait, proofTimeout), r.Deadline))
 	case wait == 0:
 		m.resume(now, r)
 	default:
@@ -260,27 +267,28 @@
 	}
 }
 
-// lateWord counts word about something that has been given up.
-func (m *Machine) lateWord(now Time, id request.ID, attempt int, text string) {
-	m.emit(Note{Request: id, At: now, Step: StepLateWord, Attempt: attempt, Text: text})
+// noteLateReport emits a Note on a report about something that is no longer current.
+func (m *Machine) noteLateReport(now Time, id request.ID, attempt int, text string) {
+	m.emit(Note{Request: id, At: now, Step: StepLateReport, Attempt: attempt, Text: text})
 }
 
-// callerGone cancels a request. One that was dispatched may have run.
-func (m *Machine) callerGone(now Time, e CallerGone) []Action {
+// callerDisconnected cancels a request. If it was dispatched it may have run.
+func (m *Machine) callerDisconnected(now Time, e CallerGone) []Action {
 	r, ok := m.requests[e.Request]
 	if !ok {
-		m.forgetPeek(now, e.Request)
-		return m.settled(now)
+		m.dropPeek(now, e.Request)
+		return m.finishStep(now)
 	}
 	if r.State == request.Dispatched && r.Execution == request.NotRun {
 		r.Execution = request.MayHaveRun
 	}
-	m.note(now, r, Note{Step: StepCallerGone, Execution: r.Execution})
+	m.note(now, r, Note{Step: StepCallerDisconnected, Execution: r.Execution})
 	m.finish(now, r, false)
-	return m.settled(now)
+	return m.finishStep(now)
 }
 
-// dispatchText says what about a dispatch is out of the ordinary.
+// dispatchText describes the restrictions on a dispatch. It is empty for an
+// ordinary one.
 func dispatchText(r *request.Request) string {
 	var parts []string
 	if r.Tokens > 0 {
--- a/internal/core/requests_peek.go
+++ b/internal/core/requests_peek.go
@@ -8,43 +8,44 @@
 )
 
 const (
-	// peekPatience is how long a refusal is held back for word on its key. An
-	// owner answers after one write of its shard's head, most often in less than
-	// half of this.
-	peekPatience = 200 * time.Millisecond
-	// maxPeeks bounds the refusals that wait. In an overload the owners would
-	// otherwise be asked about every request that is refused; those beyond the
-	// bound are told at once that they may have run.
-	maxPeeks = 256
+	// peekTimeout is how long a refusal is deferred for the answer to its Peek. An
+	// owner answers after one write of its shard's head, usually in less than half
+	// of this.
+	peekTimeout = 200 * time.Millisecond
+	// maxPendingPeeks limits the deferred refusals. In an overload the owners would
+	// otherwise be asked about every refused request. Requests above the limit are
+	// refused at once with may_have_run.
+	maxPendingPeeks = 256
 )
 
-// peeking is a refusal that waits for word on the request's key. The request
-// has ended and holds nothing.
-type peeking struct {
+// pendingPeek is a refusal deferred until the answer to its Peek. The request has
+// ended and holds no resources.
+type pendingPeek struct {
 	request *request.Request
 	refusal refusal
 	until   Time
 }
 
-// peek holds a refusal back until the key's owner has said whether an earlier
-// sending of the request is known. A caller whose answer was lost sends the
-// request again under the same key; were the repeat refused, say for its
-// account's rate, "not run" would be told of a request that ran, and the caller
-// would make a new one of it. False means that there is nothing to find out.
-func (m *Machine) peek(now Time, r *request.Request, told refusal) bool {
-	if !r.MayBeRepeat(now) || told.execution != request.NotRun || told.reason == request.ReasonBodyDiffers {
+// deferRefusal defers a refusal until the key's owner has answered whether it
+// knows an earlier request with the key. A caller that lost its answer sends the
+// request again under the same key. If that repeat were refused as "not run", for
+// example because of its account's rate limit, although the first request ran,
+// the caller would send it under a new key and it would run twice. It returns
+// false if there is nothing to ask and the refusal can be sent.
+func (m *Machine) deferRefusal(now Time, r *request.Request, refused refusal) bool {
+	if !r.MayBeRepeat(now) || refused.execution != request.NotRun || refused.reason == request.ReasonBodyDiffers {
 		return false
 	}
-	if m.set.Release == 0 || len(m.life.peeks) >= maxPeeks {
+	if m.config.Release == 0 || len(m.lifecycle.pendingPeeks) >= maxPendingPeeks {
 		// Without a configuration the account's home, and so the owner, isn't known.
-		told.execution = request.MayHaveRun
-		m.refuseNow(now, r, told)
+		refused.execution = request.MayHaveRun
+		m.sendRefusal(now, r, refused)
 		return true
 	}
-	until := now + peekPatience
-	m.life.peeks = append(m.life.peeks, peeking{r, told, until})
-	m.note(now, r, Note{Step: StepPeeking, Reason: told.reason, Until: until, Text: "it is to be refused; its key's owner is asked whether it ran before"})
-	account, _ := m.set.Account(r.Account)
+	until := now + peekTimeout
+	m.lifecycle.pendingPeeks = append(m.lifecycle.pendingPeeks, pendingPeek{r, refused, until})
+	m.note(now, r, Note{Step: StepPeeking, Reason: refused.reason, Until: until, Text: "it is to be refused; its key's owner is asked whether it ran before"})
+	account, _ := m.config.Account(r.Account)
 	m.emit(Peek{
 		Request:    r.ID,
 		Key:        claimKey(r),
@@ -55,54 +56,54 @@
 	return true
 }
 
-// claimPeeked takes the word on a key. A known key's refusal is told in place
-// of the one that waited, since coming again would end in it.
+// claimPeeked handles the answer to a Peek. If the key is known its refusal
+// replaces the deferred one, since a retry would get that refusal anyway.
 func (m *Machine) claimPeeked(now Time, e ClaimPeeked) []Action {
-	held, ok := m.takePeek(e.Request)
+	pending, ok := m.removePeek(e.Request)
 	if !ok {
-		m.lateWord(now, e.Request, 0, "word on a key")
-		return m.settled(now)
+		m.noteLateReport(now, e.Request, 0, "word on a key")
+		return m.finishStep(now)
 	}
-	told := held.refusal
+	refusal := pending.refusal
 	if known, ok := claimRefusals[e.Verdict]; ok {
-		told = known
+		refusal = known
 	} else if e.Verdict != VerdictFree {
-		told.execution = request.MayHaveRun
+		refusal.execution = request.MayHaveRun
 	}
-	m.refuseNow(now, held.request, told)
-	return m.settled(now)
+	m.sendRefusal(now, pending.request, refusal)
+	return m.finishStep(now)
 }
 
-// endPeeks refuses those whose key's owner did not answer in time.
-func (m *Machine) endPeeks(now Time) {
-	for len(m.life.peeks) > 0 && now >= m.life.peeks[0].until {
-		held := m.life.peeks[0]
-		m.life.peeks = m.life.peeks[1:]
-		held.refusal.execution = request.MayHaveRun
-		m.refuseNow(now, held.request, held.refusal)
+// expirePeeks sends the deferred refusals whose Peek was not answered in time.
+func (m *Machine) expirePeeks(now Time) {
+	for len(m.lifecycle.pendingPeeks) > 0 && now >= m.lifecycle.pendingPeeks[0].until {
+		pending := m.lifecycle.pendingPeeks[0]
+		m.lifecycle.pendingPeeks = m.lifecycle.pendingPeeks[1:]
+		pending.refusal.execution = request.MayHaveRun
+		m.sendRefusal(now, pending.request, pending.refusal)
 	}
 }
 
-// forgetPeek drops a refusal whose caller has gone.
-func (m *Machine) forgetPeek(now Time, id request.ID) {
-	if held, ok := m.takePeek(id); ok {
-		m.note(now, held.request, Note{Step: StepCallerGone, Execution: request.MayHaveRun})
+// dropPeek drops the deferred refusal of a caller that disconnected.
+func (m *Machine) dropPeek(now Time, id request.ID) {
+	if pending, ok := m.removePeek(id); ok {
+		m.note(now, pending.request, Note{Step: StepCallerDisconnected, Execution: request.MayHaveRun})
 	}
 }
 
-func (m *Machine) takePeek(id request.ID) (peeking, bool) {
-	i := slices.IndexFunc(m.life.peeks, func(p peeking) bool { return p.request.ID == id })
+func (m *Machine) removePeek(id request.ID) (pendingPeek, bool) {
+	i := slices.IndexFunc(m.lifecycle.pendingPeeks, func(p pendingPeek) bool { return p.request.ID == id })
 	if i < 0 {
-		return peeking{}, false
+		return pendingPeek{}, false
 	}
-	held := m.life.peeks[i]
-	m.life.peeks = slices.Delete(m.life.peeks, i, i+1)
-	return held, true
+	pending := m.lifecycle.pendingPeeks[i]
+	m.lifecycle.pendingPeeks = slices.Delete(m.lifecycle.pendingPeeks, i, i+1)
+	return pending, true
 }
 
-func (m *Machine) peekDue() (Time, bool) {
-	if len(m.life.peeks) == 0 {
+func (m *Machine) nextPeekTimeout() (Time, bool) {
+	if len(m.lifecycle.pendingPeeks) == 0 {
 		return 0, false
 	}
-	return m.life.peeks[0].until, true
+	return m.lifecycle.pendingPeeks[0].until, true
 }
--- a/internal/core/requests_poison.go
+++ b/internal/core/requests_poison.go
@@ -10,10 +10,10 @@
 	"oleandershunt.example/oleandershunt/internal/core/request"
 )
 
-// proofPatience is how long a request that lost two servers waits for proof
-// that it crashes them. It covers a probe, the word about the server's other
-// streams, and the word from other VMs.
-const proofPatience = 3 * time.Second
+// proofTimeout is how long a request that lost two servers waits for proof that
+// it crashes them. It covers a probe, the reports on the server's other streams,
+// and the findings of other VMs.
+const proofTimeout = 3 * time.Second
 
 func bodyOf(r *request.Request) poison.Body {
 	body := poison.Body{Account: r.Account, Pipeline: r.Pipeline, Hash: r.BodyHash}
@@ -23,10 +23,11 @@
 	return body
 }
 
-// serverLost suspects a request of having crashed the server that was lost.
-func (m *Machine) serverLost(now Time, r *request.Request, server string, progress int) {
+// reportLoss records that a request may have crashed the server that was lost
+// with it, and tells the other VMs.
+func (m *Machine) reportLoss(now Time, r *request.Request, server string, progress int) {
 	if status, ok := m.fleet.view.Status(server); ok && status.State == fleet.Leaving {
-		// A planned stop that ran into its deadline closes connections too.
+		// A planned stop that reaches its deadline also closes connections.
 		return
 	}
 	loss := poison.Loss{Server: server, Body: bodyOf(r), Progress: progress, Sent: r.SentAt}
@@ -35,46 +36,47 @@
 			loss.Incarnation = stage.Incarnation
 		}
 	}
-	if m.life.poison.Lost(now, loss) {
+	if m.lifecycle.poison.Lost(now, loss) {
 		m.emit(SpreadSuspicion{Finding: PoisonFinding{
 			Account:     loss.Body.Account,
 			Pipeline:    loss.Body.Pipeline,
 			BodyHash:    loss.Body.Hash,
 			Server:      server,
 			Incarnation: loss.Incarnation,
-			Crashes:     m.life.poison.Crashes(now, loss.Body),
+			Crashes:     m.lifecycle.poison.Crashes(now, loss.Body),
 			Suspected:   true,
 		}})
 	}
 }
 
-// requestsObserved takes a backend server's report: proof that it crashed, or
-// that it didn't, and how full it is.
-func (m *Machine) requestsObserved(now Time, e ServerObserved) []Action {
+// requestsServerObserved handles a backend server's report, which shows whether
+// the server crashed and how loaded it is.
+func (m *Machine) requestsServerObserved(now Time, e ServerObserved) []Action {
 	if e.Witness == m.options.VM {
-		m.life.poison.Seen(now, e.Age, e.Server, e.Incarnation)
+		m.lifecycle.poison.Seen(now, e.Age, e.Server, e.Incarnation)
 	} else {
-		m.life.poison.Told(e.Server, e.Incarnation)
+		m.lifecycle.poison.Told(e.Server, e.Incarnation)
 	}
-	if spec, ok := m.set.Backend(e.Server); ok && !e.LoadUnknown {
-		m.life.admission.Report(now, poolOf(spec), e.Server, e.Running, e.Waiting)
+	if spec, ok := m.config.Backend(e.Server); ok && !e.LoadUnknown {
+		m.lifecycle.admission.Report(now, poolOf(spec), e.Server, e.Running, e.Waiting)
 	}
 	m.resumeProven(now)
-	return m.settled(now)
+	return m.finishStep(now)
 }
 
-// requestsSilent takes a failed probe. Only a refused connection proves that
-// the process is gone.
-func (m *Machine) requestsSilent(now Time, e ServerSilent) []Action {
+// requestsProbeFailed handles a failed probe. Only a refused connection proves
+// that the process has ended.
+func (m *Machine) requestsProbeFailed(now Time, e ServerSilent) []Action {
 	if e.Refused && e.Witness == m.options.VM {
-		m.life.poison.Refused(now, e.Server)
+		m.lifecycle.poison.Refused(now, e.Server)
 	}
-	return m.settled(now)
+	return m.finishStep(now)
 }
 
-// judgeCrashes decides what is due, spreads it and acts on it.
-func (m *Machine) judgeCrashes(now Time) {
-	for _, finding := range m.life.poison.Judge(now) {
+// evaluateCrashes evaluates the crashes and verdicts that are due, publishes the
+// changed findings and refuses the condemned requests.
+func (m *Machine) evaluateCrashes(now Time) {
+	for _, finding := range m.lifecycle.poison.Judge(now) {
 		m.emit(PoisonVerdict{Finding: PoisonFinding{
 			Account:     finding.Account,
 			Pipeline:    finding.Pipeline,
@@ -91,10 +93,10 @@
 	m.resumeProven(now)
 }
 
-func (m *Machine) poisonLearned(now Time, e PoisonLearned) []Action {
+func (m *Machine) poisonFindingReceived(now Time, e PoisonLearned) []Action {
 	f := e.Finding
 	body := poison.Body{Account: f.Account, Pipeline: f.Pipeline, Hash: f.BodyHash}
-	newly := m.life.poison.Learn(now, poison.Finding{
+	newly := m.lifecycle.poison.Learn(now, poison.Finding{
 		Body: body, Crashes: f.Crashes, Condemned: f.Condemned, Suspected: f.Suspected,
 		Server: f.Server, Incarnation: f.Incarnation, At: now - f.Age,
 	})
@@ -102,39 +104,39 @@
 		m.refuseCondemned(now, body)
 	}
 	m.resumeProven(now)
-	return m.settled(now)
+	return m.finishStep(now)
 }
 
-// refuseCondemned refuses the requests with a condemned body that don't run
-// now. Those in the pool's queue are refused when their turn comes.
+// refuseCondemned refuses the parked and waiting requests with a condemned body.
+// Those in the pool's queue are refused when they get a slot.
 func (m *Machine) refuseCondemned(now Time, body poison.Body) {
-	for _, id := range slices.Concat(m.life.parked[body], m.life.proofs) {
+	for _, id := range slices.Concat(m.lifecycle.parked[body], m.lifecycle.awaitingProof) {
 		r, ok := m.requests[id]
 		if ok && bodyOf(r) == body && r.State != request.Dispatched {
-			m.endAs(now, r, request.ReasonPoison, request.Ran, 0)
+			m.endRefusedAs(now, r, request.ReasonPoison, request.Ran, 0)
 		}
 	}
 }
 
-// resumeProven goes on with the requests whose proof or verdict is no longer awaited.
+// resumeProven resumes the requests whose proof or verdict is no longer pending.
 func (m *Machine) resumeProven(now Time) {
-	for _, body := range slices.SortedFunc(maps.Keys(m.life.parked), poison.CompareBodies) {
-		if m.life.running[body] == 0 && !m.life.poison.Waiting(body) {
-			m.life.unparked = append(m.life.unparked, body)
+	for _, body := range slices.SortedFunc(maps.Keys(m.lifecycle.parked), poison.CompareBodies) {
+		if m.lifecycle.running[body] == 0 && !m.lifecycle.poison.Waiting(body) {
+			m.lifecycle.releasedBodies = append(m.lifecycle.releasedBodies, body)
 		}
 	}
-	if len(m.life.proofs) == 0 {
+	if len(m.lifecycle.awaitingProof) == 0 {
 		return
 	}
-	waiting := m.life.proofs
-	m.life.proofs = nil
+	waiting := m.lifecycle.awaitingProof
+	m.lifecycle.awaitingProof = nil
 	for _, id := range waiting {
 		r, ok := m.requests[id]
 		if !ok || r.State != request.Resuming {
 			continue
 		}
-		if m.life.poison.Waiting(bodyOf(r)) {
-			m.life.proofs = append(m.life.proofs, id)
+		if m.lifecycle.poison.Waiting(bodyOf(r)) {
+			m.lifecycle.awaitingProof = append(m.lifecycle.awaitingProof, id)
 			continue
 		}
 		r.Wake = 0
@@ -142,58 +144,60 @@
 	}
 }
 
-// resume starts the next attempt of a request whose wait ended, as far as its
-// body may still run.
+// resume starts the next attempt of a request whose wait ended, if its body may
+// still run.
 func (m *Machine) resume(now Time, r *request.Request) {
-	if m.life.poison.Level(now, bodyOf(r)) == poison.Condemned {
-		m.endAs(now, r, request.ReasonPoison, request.Ran, 0)
+	if m.lifecycle.poison.Level(now, bodyOf(r)) == poison.Condemned {
+		m.endRefusedAs(now, r, request.ReasonPoison, request.Ran, 0)
 		return
 	}
 	if now >= r.Deadline {
-		// Waiting on would end in this very step, and start again, for ever.
-		m.end(now, r, request.ReasonDeadline, 0)
+		// A new wait would expire in this same step and loop for ever.
+		m.endRefused(now, r, request.ReasonDeadline, 0)
 		return
 	}
 	if m.crashes(now, r) >= maxCrashes {
-		m.end(now, r, request.ReasonAttempts, proofPatience)
+		m.endRefused(now, r, request.ReasonAttempts, proofTimeout)
 		return
 	}
-	if due, ok := m.life.poison.VerdictDue(bodyOf(r)); ok && now < due {
-		// The proof came late; the verdict is near, and another attempt before
-		// it might cost one more server.
+	if due, ok := m.lifecycle.poison.VerdictDue(bodyOf(r)); ok && now < due {
+		// The proof came late. The verdict is due soon, and an attempt before it
+		// might crash one more server.
 		m.awaitProof(now, r, min(due, r.Deadline))
 		return
 	}
 	m.dispatch(now, r)
 }
 
-// crashes is how many servers the request may have crashed, itself or by its body.
+// crashes returns how many servers the request itself, or all requests with its
+// body, may have crashed, whichever is more.
 func (m *Machine) crashes(now Time, r *request.Request) int {
-	return max(r.Losses, m.life.poison.Crashes(now, bodyOf(r)))
+	return max(r.Losses, m.lifecycle.poison.Crashes(now, bodyOf(r)))
 }
 
-// mayCrash tells whether a request is suspected strongly enough that another
-// attempt should wait for proof, and be kept apart.
-func (m *Machine) mayCrash(now Time, r *request.Request) bool {
-	return r.Losses > 0 && m.crashes(now, r) >= doubtfulCrashes
+// isCrashSuspect reports whether a request is suspected strongly enough that its
+// next attempt must run isolated and may have to wait for proof.
+func (m *Machine) isCrashSuspect(now Time, r *request.Request) bool {
+	return r.Losses > 0 && m.crashes(now, r) >= crashesNeedingProof
 }
 
-// needsProof tells whether a request has to wait for proof before its next
-// attempt. Two crashes don't condemn one that went on well past the first, so
-// that nothing could come of its wait: a stream that loses a server to each of
-// two unrelated failures would stand still for seconds. Its next attempt is
-// still kept apart, and a third loss ends it.
+// needsProof reports whether a request has to wait for proof before its next
+// attempt. Two crashes don't condemn a request that made enough progress after
+// the first, so waiting for proof would only stall, for seconds, a stream that
+// lost its servers to two unrelated failures. Its next attempt still runs
+// isolated, and a third loss ends it.
 func (m *Machine) needsProof(now Time, r *request.Request) bool {
-	if !m.mayCrash(now, r) || !m.life.poison.Waiting(bodyOf(r)) {
+	if !m.isCrashSuspect(now, r) || !m.lifecycle.poison.Waiting(bodyOf(r)) {
 		return false
 	}
-	return r.Progress < poison.ProgressTokens || m.crashes(now, r) > doubtfulCrashes
+	return r.Progress < poison.ProgressTokens || m.crashes(now, r) > crashesNeedingProof
 }
 
-// awaitProof makes a request wait for proof, or the verdict, on its body.
+// awaitProof makes a request wait until the given time for proof of a crash by its
+// body, or for the verdict on it.
 func (m *Machine) awaitProof(now Time, r *request.Request, until Time) {
-	if !slices.Contains(m.life.proofs, r.ID) {
-		m.life.proofs = append(m.life.proofs, r.ID)
+	if !slices.Contains(m.lifecycle.awaitingProof, r.ID) {
+		m.lifecycle.awaitingProof = append(m.lifecycle.awaitingProof, r.ID)
 	}
 	r.Awaited = r.Attempt + 1
 	r.Move(request.Resuming)
@@ -206,7 +210,7 @@
 		return
 	}
 	for _, stage := range r.Path {
-		m.life.isolated[stage.Server]++
+		m.lifecycle.isolated[stage.Server]++
 	}
 }
 
@@ -216,8 +220,8 @@
 	}
 	r.Isolated = false
 	for _, stage := range r.Path {
-		if m.life.isolated[stage.Server]--; m.life.isolated[stage.Server] <= 0 {
-			delete(m.life.isolated, stage.Server)
+		if m.lifecycle.isolated[stage.Server]--; m.lifecycle.isolated[stage.Server] <= 0 {
+			delete(m.lifecycle.isolated, stage.Server)
 		}
 	}
 }
--- a/internal/core/requests_time.go
+++ b/internal/core/requests_time.go
@@ -10,53 +10,53 @@
 )
 
 const (
-	// usageInterval is how often the accounts' usage is told to other VMs.
+	// usageInterval is how often the accounts' usage is reported to other VMs.
 	usageInterval = time.Second
-	// usageAccounts bounds the accounts told of at once.
+	// usageAccounts limits the accounts in one report.
 	usageAccounts = 256
 )
 
-// tick ends the waits whose time has come.
+// tick handles the timers that have expired.
 func (m *Machine) tick(now Time) []Action {
-	m.waits.armed = 0
-	m.endPeeks(now)
-	m.judgeCrashes(now)
+	m.timers.scheduledTick = 0
+	m.expirePeeks(now)
+	m.evaluateCrashes(now)
 	for {
-		r, ok := m.nextWaiting(now)
+		r, ok := m.popExpired(now)
 		if !ok {
 			break
 		}
-		m.waitEnded(now, r)
+		m.timerExpired(now, r)
 	}
-	m.tellUsage(now)
-	return m.settled(now)
+	m.reportUsage(now)
+	return m.finishStep(now)
 }
 
-func (m *Machine) waitEnded(now Time, r *request.Request) {
+func (m *Machine) timerExpired(now Time, r *request.Request) {
 	switch r.State {
 	case request.Queued:
-		m.end(now, r, request.ReasonDeadline, m.life.admission.RetryAfter(now, r.Pool, r.Account))
+		m.endRefused(now, r, request.ReasonDeadline, m.lifecycle.admission.RetryAfter(now, r.Pool, r.Account))
 	case request.Claiming:
 		m.claimUndecided(now, r)
 	case request.Resuming:
 		if r.Confirming {
-			m.unconfirmed(now, r)
+			m.confirmationFailed(now, r)
 			return
 		}
 		m.resume(now, r)
 	}
 }
 
-func (m *Machine) tellUsage(now Time) {
-	if m.life.usageAt == 0 || now < m.life.usageAt {
+func (m *Machine) reportUsage(now Time) {
+	if m.lifecycle.nextUsageAt == 0 || now < m.lifecycle.nextUsageAt {
 		return
 	}
-	m.life.usageAt = 0
-	rates := m.life.admission.LimitedRates(now, usageAccounts)
+	m.lifecycle.nextUsageAt = 0
+	rates := m.lifecycle.admission.LimitedRates(now, usageAccounts)
 	if len(rates) == 0 {
 		return
 	}
-	m.life.usageAt = now + usageInterval
+	m.lifecycle.nextUsageAt = now + usageInterval
 	usage := AccountUsageHere{Accounts: make([]AccountRate, 0, len(rates))}
 	for _, r := range rates {
 		usage.Accounts = append(usage.Accounts, AccountRate(r))
@@ -64,25 +64,25 @@
 	m.emit(usage)
 }
 
-func (m *Machine) accountUsage(now Time, e AccountUsage) []Action {
+func (m *Machine) remoteAccountUsage(now Time, e AccountUsage) []Action {
 	elsewhere := make(map[string]float64, len(e.Elsewhere))
 	for _, r := range e.Elsewhere {
 		elsewhere[r.Account] = r.PerSecond
 	}
-	m.life.admission.SetUsage(now, e.LiveVMs, elsewhere)
+	m.lifecycle.admission.SetUsage(now, e.LiveVMs, elsewhere)
 	return nil
 }
 
-// setPools tells the admission how many backend servers each pool has.
-func (m *Machine) setPools() {
+// updatePools passes the number of backend servers of each pool to admission control.
+func (m *Machine) updatePools() {
 	servers := make(map[string]int)
-	for _, server := range m.set.Servers() {
+	for _, server := range m.config.Servers() {
 		servers[poolOf(server.BackendServerSpec)]++
 	}
 	for _, pool := range slices.Sorted(maps.Keys(servers)) {
 		count := servers[pool]
-		m.life.admission.SetServers(pool, count)
-		m.free(pool)
+		m.lifecycle.admission.SetServers(pool, count)
+		m.markFreed(pool)
 	}
 }
 
--- a/internal/core/routing.go
+++ b/internal/core/routing.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// boundInterval is how often the pipelines' bounds are looked at.
-	boundInterval = time.Second
-	// boundChange is the part by which a bound must move to be told anew.
-	boundChange = 0.01
+	// boundCheckInterval is how often the pipelines' throughput bounds are recomputed.
+	boundCheckInterval = time.Second
+	// minBoundChange is the relative change of a bound above which it is reported again.
+	minBoundChange = 0.01
 )
 
-// holding is what a backend server said that it holds.
+// holding is the model, version and layers that a backend server reported as loaded.
 type holding struct {
 	model   string
 	version string
 	layers  api.Layers
 }
 
-// routingPart is what the machine keeps between the fleet and the router.
-type routingPart struct {
-	// holdings are by server. They replace what the records say, since the
-	// record tells what a server should hold, and a path needs what it does hold.
-	holdings map[string]holding
-	bounds   map[string]PipelineBound
-	boundsAt Time
-	// serving is the version that new requests of a model run on, until a server changes.
-	serving map[string]string
+// routingState is the state that the machine keeps for the router.
+type routingState struct {
+	// holdings has the last report of each server. It overrides the server's
+	// record: the record says what the server should hold, but a path needs what
+	// it actually holds.
+	holdings        map[string]holding
+	bounds          map[string]PipelineBound
+	boundsCheckedAt Time
+	// servingVersions caches servingVersion by model. It is cleared when a server changes.
+	servingVersions map[string]string
 }
 
-func newRoutingPart() routingPart {
-	return routingPart{holdings: make(map[string]holding), bounds: make(map[string]PipelineBound), serving: make(map[string]string)}
+func newRoutingState() routingState {
+	return routingState{holdings: make(map[string]holding), bounds: make(map[string]PipelineBound), servingVersions: make(map[string]string)}
 }
 
-// routingBefore takes an event's evidence on loads, caches and links. It comes
-// before the event itself, so that a choice already knows it.
-func (m *Machine) routingBefore(now Time, event Event) []Action {
+// observeRouting updates the router's loads, caches and links from an event. It
+// runs before the event is handled, so that path selection already uses them.
+func (m *Machine) observeRouting(now Time, event Event) []Action {
 	m.router.Advance(now)
 	switch e := event.(type) {
 	case ServerObserved:
-		m.routingObserved(now, e)
+		m.routingServerObserved(now, e)
 	case CacheObserved:
 		m.router.ObserveCache(e.Server, e.Incarnation, e.Events)
 	case LinkObserved:
@@ -54,14 +55,14 @@
 	case AttemptEnded:
 		m.router.Progress(string(e.Request), now, e.Tokens)
 	}
-	if now-m.routing.boundsAt < boundInterval {
+	if now-m.routing.boundsCheckedAt < boundCheckInterval {
 		return nil
 	}
-	m.routing.boundsAt = now
+	m.routing.boundsCheckedAt = now
 	return m.changedBounds()
 }
 
-func (m *Machine) routingObserved(now Time, e ServerObserved) {
+func (m *Machine) routingServerObserved(now Time, e ServerObserved) {
 	if !e.LoadUnknown {
 		m.router.Observe(now, route.Report{Server: e.Server, At: now - e.Age, Running: e.Running, Waiting: e.Waiting})
 	}
@@ -70,29 +71,29 @@
 		return
 	}
 	m.routing.holdings[e.Server] = held
-	clear(m.routing.serving)
-	if record, ok := m.server(e.Server); ok {
+	clear(m.routing.servingVersions)
+	if record, ok := m.backendServer(e.Server); ok {
 		m.router.SetServer(m.routeServer(record))
 	}
 }
 
-// server is a backend server of the configuration in force.
-func (m *Machine) server(name string) (config.Server, bool) {
-	spec, ok := m.set.Backend(name)
+// backendServer returns the named backend server of the configuration in force.
+func (m *Machine) backendServer(name string) (config.Server, bool) {
+	spec, ok := m.config.Backend(name)
 	if !ok {
 		return config.Server{}, false
 	}
 	version := spec.ModelVersion
 	if version == "" {
-		version = m.set.Models[spec.Model].Version
+		version = m.config.Models[spec.Model].Version
 	}
 	return config.Server{Name: name, BackendServerSpec: spec, Version: version}, true
 }
 
-// setServers gives the router the backend servers of the configuration in force.
+// setServers passes the backend servers of the configuration in force to the router.
 func (m *Machine) setServers() {
-	clear(m.routing.serving)
-	records := m.set.Servers()
+	clear(m.routing.servingVersions)
+	records := m.config.Servers()
 	servers := make([]route.Server, 0, len(records))
 	known := make(map[string]holding, len(records))
 	for _, record := range records {
@@ -105,8 +106,8 @@
 	m.router.SetServers(servers)
 }
 
-// routeServer is a backend server as its record, the fleet's judgement and its
-// own word say.
+// routeServer combines a backend server's record, its health and its own last
+// report into the form that the router uses.
 func (m *Machine) routeServer(record config.Server) route.Server {
 	server := route.Server{
 		Name:            record.Name,
@@ -125,12 +126,12 @@
 	return server
 }
 
-// Bounds lists the bound of every pipeline in order of name.
+// Bounds returns the throughput bound of every pipeline, sorted by name.
 func (m *Machine) Bounds() []PipelineBound {
-	bounds := make([]PipelineBound, 0, len(m.set.Pipelines))
-	for _, name := range slices.Sorted(maps.Keys(m.set.Pipelines)) {
-		model := m.set.Pipelines[name].Model
-		spec := m.set.Models[model]
+	bounds := make([]PipelineBound, 0, len(m.config.Pipelines))
+	for _, name := range slices.Sorted(maps.Keys(m.config.Pipelines)) {
+		model := m.config.Pipelines[name].Model
+		spec := m.config.Models[model]
 		bound := m.router.Bound(model, spec.Version, spec.Layers)
 		bounds = append(bounds, PipelineBound{
 			Pipeline:        name,
@@ -145,30 +146,30 @@
 	return bounds
 }
 
-// changedBounds tells the bounds that moved since they were told last.
+// changedBounds returns the bounds that changed since they were last reported.
 func (m *Machine) changedBounds() []Action {
 	var actions []Action
-	told := make(map[string]PipelineBound, len(m.routing.bounds))
+	reported := make(map[string]PipelineBound, len(m.routing.bounds))
 	for _, bound := range m.Bounds() {
 		before, ok := m.routing.bounds[bound.Pipeline]
-		if ok && sameBound(before, bound) {
-			told[bound.Pipeline] = before
+		if ok && boundUnchanged(before, bound) {
+			reported[bound.Pipeline] = before
 			continue
 		}
-		told[bound.Pipeline] = bound
+		reported[bound.Pipeline] = bound
 		actions = append(actions, bound)
 	}
 	for _, pipeline := range slices.Sorted(maps.Keys(m.routing.bounds)) {
-		if _, ok := told[pipeline]; !ok {
+		if _, ok := reported[pipeline]; !ok {
 			actions = append(actions, PipelineBound{Pipeline: pipeline, Removed: true})
 		}
 	}
-	m.routing.bounds = told
+	m.routing.bounds = reported
 	return actions
 }
 
-func sameBound(a, b PipelineBound) bool {
-	near := math.Abs(a.TokensPerSecond-b.TokensPerSecond) <= boundChange*a.TokensPerSecond
+func boundUnchanged(a, b PipelineBound) bool {
+	near := math.Abs(a.TokensPerSecond-b.TokensPerSecond) <= minBoundChange*a.TokensPerSecond
 	return near && a.Servers == b.Servers && a.Disconnected == b.Disconnected &&
 		slices.Equal(a.Missing, b.Missing) && slices.Equal(a.SingleCopy, b.SingleCopy) && slices.Equal(a.Bottleneck, b.Bottleneck)
 }
--- a/internal/core/routing_test.go
+++ b/internal/core/routing_test.go
@@ -13,7 +13,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/request"
 )
 
-// routingMachine has one pipeline of 24 layers on servers with the given ranges.
+// routingMachine returns a machine with one pipeline of 24 layers on servers with
+// the given layer ranges.
 func routingMachine(t *testing.T, servers map[string]string) *core.Machine {
 	documents := []api.Document{
 		document("Model", "m", []string{"layers=24", "version=v1"}),
@@ -39,18 +40,17 @@
 	return actions[i].(core.PipelineBound), true
 }
 
-// Symptom: attempts are refused by a server for layers that it doesn't hold, and
-// the operators are told of a capacity that isn't there. Sequence: a record says
-// that a server holds all layers; it was ordered to hold half of them and says
-// so. Cause: the record is believed rather than the server.
-func TestRoutingBelievesWhatAServerHolds(t *testing.T) {
+// Guards against routing to layers that a server does not hold, and reporting
+// capacity that does not exist, when the record lists all layers but the server
+// reports that it holds only half of them.
+func TestRoutingUsesReportedLayersNotRecord(t *testing.T) {
 	g := NewWithT(t)
 	m := routingMachine(t, map[string]string{"a": "layers.to=24"})
 	bound, ok := boundIn(m.Step(time.Second, core.FleetTick{}))
 	g.Expect(ok).To(BeTrue())
 	g.Expect(bound.TokensPerSecond).To(BeNumerically("~", 100, 1e-6))
 	_, ok = boundIn(m.Step(3*time.Second, core.FleetTick{}))
-	g.Expect(ok).To(BeFalse(), "it is told at its changes only")
+	g.Expect(ok).To(BeFalse(), "an unchanged bound is not reported again")
 
 	bound, ok = boundIn(m.Step(4*time.Second, core.ServerObserved{
 		Server: "a", Witness: "vm", Incarnation: 1, Model: "m", Version: "v1", Layers: api.Layers{From: 0, To: 12},
@@ -62,10 +62,9 @@
 	g.Expect(refusal).To(BeNumerically(">=", 0))
 }
 
-// Symptom: new streams go to a server that is full. Sequence: this VM knows its
-// load from a report; then another VM passes on what it holds, without its load.
-// Cause: no word of a load is taken for no load.
-func TestHoldingWithoutLoadIsNoLoadReport(t *testing.T) {
+// Guards against sending new streams to a full server: after this VM's report of
+// its load, another VM's report without a load must not count as zero load.
+func TestReportWithoutLoadKeepsKnownLoad(t *testing.T) {
 	g := NewWithT(t)
 	m := routingMachine(t, map[string]string{"a": "layers.to=24", "b": "layers.to=24"})
 	held := core.ServerObserved{Server: "a", Witness: "vm", Incarnation: 1, Model: "m", Version: "v1", Layers: api.Layers{From: 0, To: 24}}
--- a/internal/core/scripts_test.go
+++ b/internal/core/scripts_test.go
@@ -23,23 +23,24 @@
 	"oleandershunt.example/oleandershunt/internal/core/route"
 )
 
-var rewrite = flag.Bool("rewrite", false, "write the actions into the scripts in place of those expected")
+var rewrite = flag.Bool("rewrite", false, "replace the expected actions in the scripts by the actual ones")
 
-// Each script in testdata says what happens to one or more machines and which
-// actions follow. Lines without indentation are input:
+// TestScripts runs the scripts in testdata. Each script gives the events of one or
+// more machines and the expected actions. Lines without indentation are input:
 //
 //	options maxAttempts=2             settings, before the first event
 //	record Pipeline p model=m ...     a record of the configuration in force
-//	delete Pipeline p                 the record is gone with the next release
-//	release 10ms                      the records so far come in force everywhere;
+//	delete Pipeline p                 deletes the record in the next release
+//	release 10ms                      puts the records so far in force on all machines;
 //	                                  without it they are in force from the start
-//	vm a                              one more machine; without it there is one
+//	unconfigured                      starts machines without a configuration
+//	vm a                              adds a machine; without it there is one
 //	> 10ms request_arrived request=r  an event with its time; "a> " names the machine
-//	> 5s wait                         lets time pass
+//	> 5s wait                         advances the time
+//	notes                             shows the notes from here on
 //
-// Indented lines are the expected actions. Machines are given a Tick when one
-// that they asked for is due. Actions of the fleet's health, wake-ups and notes
-// are left out; "notes" as an input line shows the notes that follow.
+// Indented lines are the expected actions. Machines get a Tick when one that they
+// asked for is due. Health actions, WakeAt and, by default, notes are left out.
 func TestScripts(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.txt")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -64,12 +65,12 @@
 type scriptRun struct {
 	t       *testing.T
 	options core.Options
-	// documents are the records read so far.
+	// documents are the records defined so far.
 	documents []api.Document
 	releases  uint64
 	machines  map[string]*scriptMachine
 	notes     bool
-	// unconfigured machines start without a configuration.
+	// unconfigured says that machines start without a configuration.
 	unconfigured bool
 	out          strings.Builder
 }
@@ -164,7 +165,8 @@
 	}
 }
 
-// event lets the machine's time pass up to an event, and steps it.
+// event advances the machine's time to an event, with the Ticks that are due, and
+// steps it.
 func (s *scriptRun) event(m *scriptMachine, at core.Time, name, rest string) {
 	for m.wakeAt != 0 && m.wakeAt <= at {
 		due := m.wakeAt
@@ -233,7 +235,8 @@
 
 var durationValue = regexp.MustCompile(`^[0-9.]+(ns|us|ms|s|m|h)$`)
 
-// fields makes JSON of key=value words. A key with dots is a field of a field.
+// fields converts key=value words to a JSON object. A dot in a key separates the
+// names of nested fields.
 func fields(words []string) []byte {
 	object := map[string]any{}
 	for _, word := range words {
--- a/internal/core/versions_test.go
+++ b/internal/core/versions_test.go
@@ -13,11 +13,10 @@
 	"oleandershunt.example/oleandershunt/internal/core/request"
 )
 
-// Symptom: every request is refused for want of a path during a change of
-// versions, though servers with the earlier version are up. Sequence: a new
-// version is accepted; one server of two has loaded it, then both. Cause: the
-// accepted version asked for before it is whole.
-func TestEarlierVersionServesUntilTheNextIsWhole(t *testing.T) {
+// Guards against refusing every request with no path during a version change: the
+// new version must not be required before servers hold all its layers. One of two
+// servers loads it first, then the other.
+func TestEarlierVersionServesUntilNextIsComplete(t *testing.T) {
 	g := NewWithT(t)
 	m := core.New(core.Options{VM: "a", DataCentre: "d", MaxAttempts: 4})
 	release := func(number uint64, version string) core.ConfigInForce {
