--- a/internal/trace/mutation_test.go
+++ b/internal/trace/mutation_test.go
@@ -23,7 +23,7 @@
 	},
 	{
 		Name: "release goes back", File: "internal/core/core.go",
-		Old: "if e.Set.Release <= m.set.Release {", Bad: "if e.Set.Release == m.set.Release {",
+		Old: "if e.Set.Release <= m.config.Release {", Bad: "if e.Set.Release == m.config.Release {",
 	},
 	{
 		Name: "duplicate token", File: "internal/engine/receipts.go",
