--- a/internal/core/backends/backends.go
+++ b/internal/core/backends/backends.go
@@ -1,8 +1,7 @@
-// Package backends is what one VM knows of the backend servers that opaque
-// requests are forwarded to: their entries in the platform, what was seen of
-// them, and the load that this VM put on them. It chooses the server, or the
-// path of servers, of each attempt. It does no I/O and reads no clock; its
-// methods must not be called at the same time.
+// Package backends keeps one VM's view of the backend servers that opaque requests are forwarded
+// to: their entries in the platform, their observed state and the load that this VM puts on them.
+// It chooses the server, or the path of servers, for each attempt. It does no I/O and reads no
+// clock. Its types are not safe for concurrent use.
 package backends
 
 import (
@@ -16,27 +15,27 @@
 	"oleandershunt.example/oleandershunt/internal/core/routes"
 )
 
-// Server is a process of a backend server, as it registered itself.
+// Server is a process of a backend server, as registered in the platform.
 type Server struct {
-	// ID names one life of the process: a restart has another.
+	// ID identifies one process of the server: a restarted server has a new ID.
 	ID string
-	// Name is the name of its entry, which servers and the platform go by. A restart may
-	// keep it. Empty is the ID.
+	// Name is the name of the server's entry, which servers and the platform use. A restart may
+	// keep it. Defaults to ID if empty.
 	Name string
-	// Started is when the process started, in Unix milliseconds. 0 where it doesn't say.
+	// Started is the start time of the process in Unix milliseconds, or 0 if not reported.
 	Started    uint64
 	Service    string
 	Address    string
 	DataCentre string
 	// Card is the kind of accelerator. Empty for plain services.
 	Card string
-	// Draining says that it is to get nothing new.
+	// Draining is set if the server must not get new requests.
 	Draining bool
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the server runs concurrently.
 	Slots int
-	// Holds are the ranges of layers held.
+	// Holds are the ranges of layers that the server has loaded.
 	Holds []Held
-	// Revision is the version of the entry in the platform; it grows with each write.
+	// Revision is the version of the entry in the platform. It grows with each write.
 	Revision history.Version
 }
 
@@ -46,103 +45,104 @@
 	Version int
 }
 
-// LapseGrace is how long an entry may be missing after the platform came back
-// before its server counts as gone. Entries lapse while servers can't write; a
-// living server writes again about 2 s after the outage (the platform's word).
-const LapseGrace = 2200 * time.Millisecond
+// ExpiryGrace is how long an entry may be missing after the platform becomes available again before
+// its server counts as gone. Entries expire while servers can't write to the platform; according to
+// the platform, a live server rewrites its entry about 2 s after the outage.
+const ExpiryGrace = 2200 * time.Millisecond
 
-// known is a server with what was seen of it.
-type known struct {
+// serverState is a server with its observed state and load.
+type serverState struct {
 	Server
-	// missing is the revision by which the entry was not there any more, while that
-	// may be the platform's fault. 0 when it is there.
-	missing history.Version
-	// suspectUntil is when the server is tried again after it failed.
+	// missingRevision is the revision at which the entry was found missing while that may be due to
+	// a platform outage. 0 if the entry is present.
+	missingRevision history.Version
+	// suspectUntil is when a server that failed may get requests again.
 	suspectUntil time.Duration
-	// fullUntil is until when the server counts as full, by its own word.
+	// fullUntil is until when the server counts as full because it rejected this VM's requests.
 	fullUntil time.Duration
-	// heardFullUntil is the same by other VMs' word, which isn't told again.
-	heardFullUntil time.Duration
-	// fullSpan is how long it was held to be full the last time.
-	fullSpan time.Duration
-	// darkUntil is until when the server counts as lost, by another server's word.
-	darkUntil time.Duration
-	// pace is how many times as long as usual the server takes, as it said at pacedAt.
-	// askedAt is when this VM asked it last, and paceNews says that others should know.
-	pace             float64
-	pacedAt, askedAt time.Duration
-	paceNews         bool
-	// used is what this VM's requests take on the server, and told what the other VMs
-	// were last told of that.
-	used, told Usage
-	// turn is the number of this VM's request that was sent to it last.
-	turn uint64
-}
-
-// Usage is what requests take on a server.
+	// remoteFullUntil is the same as reported by other VMs. It is not forwarded.
+	remoteFullUntil time.Duration
+	// fullBackoff is how long the server last counted as full.
+	fullBackoff time.Duration
+	// unresponsiveUntil is until when the server counts as unresponsive, as reported by another
+	// server.
+	unresponsiveUntil time.Duration
+	// pace is the server's slowdown: 2 means that it takes twice as long as usual. paceUpdatedAt is
+	// when it was last learnt, paceReportedAt when the server last reported it to this VM itself,
+	// and sharePace is set if other VMs need to know it.
+	pace                          float64
+	paceUpdatedAt, paceReportedAt time.Duration
+	sharePace                     bool
+	// localUsage is what this VM's requests use on the server, and publishedUsage what this VM last
+	// published of that to the other VMs.
+	localUsage, publishedUsage Usage
+	// lastRequest is the number of this VM's latest request to the server.
+	lastRequest uint64
+}
+
+// Usage is the capacity that requests use on a server.
 type Usage struct {
 	// Memory is in tokens times layers.
 	Memory float64
-	// Running is how many requests were sent to the server itself, as the first one of
-	// their paths or the only one. Those take its slots.
+	// Running is the number of requests sent to the server itself, as the only server or the first
+	// of their paths. Only those take its slots.
 	Running int
 }
 
-// Plus adds up what requests take.
+// Plus returns the sum of two usages.
 func (u Usage) Plus(other Usage) Usage {
 	return Usage{Memory: u.Memory + other.Memory, Running: u.Running + other.Running}
 }
 
-// Fleet is the servers that are known. The zero value isn't ready; use New.
+// Fleet is the set of known servers. The zero value is not usable; use New.
 type Fleet struct {
-	servers map[string]*known
+	servers map[string]*serverState
 	index   index
-	// services are those of the configuration in force.
+	// services are the services of the configuration in force.
 	services map[string]bool
-	// left are servers that were seen to leave. What could go wrong without it: an
-	// old list or a late event shows one as ready, and it gets requests while it
-	// stops.
-	left map[string]departure
-	// news are those that left since News was asked.
-	news []Departure
-	// restored is when the platform answered again after an outage.
-	restored time.Duration
-	outage   bool
-	// copied is the version of the first list of the platform's present history: entries up to
-	// it may be of the copy from which that began.
-	copied history.Version
-	// signs is the time between two signs of life of a server.
-	signs time.Duration
-	// sums is what the requests of all other VMs take on servers.
-	sums map[string]Usage
-	// limits are the request rates that servers set.
-	limits *ratelimit.Limits
-	// pauses are the servers that want no requests of this VM for a time.
+	// departed are the servers that are leaving or have left. Without it an old list or a late
+	// event could show such a server as ready, and it would get requests while it stops.
+	departed map[string]departureRecord
+	// newDepartures are the departures since the last call of News.
+	newDepartures []Departure
+	// platformUpAt is when the platform became available again after an outage.
+	platformUpAt time.Duration
+	platformDown bool
+	// restoreVersion is the version of the first list of the platform's current history. Entries up
+	// to it may come from the backup that the history was restored from.
+	restoreVersion history.Version
+	// heartbeatInterval is the time between two heartbeats of a server.
+	heartbeatInterval time.Duration
+	// remoteUsage is what the requests of all other VMs use, by server.
+	remoteUsage map[string]Usage
+	// rateLimits are the request rates that servers set.
+	rateLimits *ratelimit.Limits
+	// pauses are the servers that asked this VM to pause its requests.
 	pauses *backpressure.Pauses
-	// others is how many VMs they are, and live how many VMs there are, this one included,
-	// whether or not they are in the sums yet.
-	others, live int
-	// turns counts this VM's requests.
-	turns uint64
-	// unreached are the data centres out of reach, and until when they count as such.
-	unreached map[string]time.Duration
+	// remoteVMs is the number of VMs included in remoteUsage. liveVMs is the number of live VMs,
+	// this one included, whether or not remoteUsage includes them.
+	remoteVMs, liveVMs int
+	// requestCount counts this VM's requests.
+	requestCount uint64
+	// unreachableUntil is until when a data centre counts as unreachable.
+	unreachableUntil map[string]time.Duration
 }
 
-// New makes an empty fleet.
+// New returns an empty fleet.
 func New() *Fleet {
 	return &Fleet{
-		servers:   make(map[string]*known),
-		index:     newIndex(),
-		left:      make(map[string]departure),
-		sums:      make(map[string]Usage),
-		unreached: make(map[string]time.Duration),
-		limits:    ratelimit.New(),
-		pauses:    backpressure.NewPauses(),
-		signs:     usualSigns,
+		servers:           make(map[string]*serverState),
+		index:             newIndex(),
+		departed:          make(map[string]departureRecord),
+		remoteUsage:       make(map[string]Usage),
+		unreachableUntil:  make(map[string]time.Duration),
+		rateLimits:        ratelimit.New(),
+		pauses:            backpressure.NewPauses(),
+		heartbeatInterval: defaultHeartbeatInterval,
 	}
 }
 
-// Serve takes the services of the configuration in force.
+// Serve sets the services of the configuration in force.
 func (f *Fleet) Serve(services []string) {
 	f.services = make(map[string]bool, len(services))
 	for _, service := range services {
@@ -150,291 +150,293 @@
 	}
 }
 
-// Heard takes what the requests of so many other VMs take, by server.
-func (f *Fleet) Heard(loads map[string]Usage, vms int) { f.sums, f.others = loads, vms }
+// Heard sets the usage by all other VMs, by server, and the number of VMs that it includes.
+func (f *Fleet) Heard(loads map[string]Usage, vms int) { f.remoteUsage, f.remoteVMs = loads, vms }
 
-// Live takes how many VMs there are, this one included.
-func (f *Fleet) Live(vms int) { f.live = vms }
+// Live sets the number of live VMs, this one included.
+func (f *Fleet) Live(vms int) { f.liveVMs = vms }
 
-// unreachedFor is how long a data centre counts as out of reach after the VM heard so: a
-// little longer than until it hears anew.
-const unreachedFor = 600 * time.Millisecond
+// unreachableTTL is how long a data centre counts as unreachable after a report: a little longer
+// than the interval of the reports.
+const unreachableTTL = 600 * time.Millisecond
 
-// Unreached takes the data centres that can't be reached now. Their servers get nothing
-// new.
+// Unreached sets the data centres that are currently unreachable. Their servers get no new
+// requests.
 func (f *Fleet) Unreached(now time.Duration, dataCentres []string) {
-	clear(f.unreached)
+	clear(f.unreachableUntil)
 	for _, dataCentre := range dataCentres {
-		f.unreached[dataCentre] = now + unreachedFor
+		f.unreachableUntil[dataCentre] = now + unreachableTTL
 	}
 }
 
-// Loads is what this VM's requests take, by server. It is to be told to the other VMs.
+// Loads returns what this VM's requests use, by server, to be published to the other VMs.
 func (f *Fleet) Loads() map[string]Usage {
 	loads := make(map[string]Usage)
-	for id, k := range f.servers {
-		k.told = k.used
-		if k.used.Memory > 0 || k.used.Running > 0 {
-			loads[id] = k.used
+	for id, s := range f.servers {
+		s.publishedUsage = s.localUsage
+		if s.localUsage.Memory > 0 || s.localUsage.Running > 0 {
+			loads[id] = s.localUsage
 		}
 	}
 	return loads
 }
 
-// load is what all VMs have put on a server, as far as this one knows.
-func (f *Fleet) load(k *known) float64 {
-	return k.used.Memory + f.sums[k.ID].Memory
+// memoryUsed is the memory that requests of all VMs use on a server, as far as this VM knows.
+func (f *Fleet) memoryUsed(s *serverState) float64 {
+	return s.localUsage.Memory + f.remoteUsage[s.ID].Memory
 }
 
-// expected is the load with what the other VMs have put on a server since they told
-// it last, which is taken to be what this one has.
+// expectedMemory is memoryUsed plus an estimate of what the other VMs have added since they last
+// published their loads: each is assumed to have added as much as this VM.
 //
-// What can go wrong: hundreds of requests come within a moment, after a loss of power
-// or as a burst. Each VM finds the same path the cheapest and sees its own requests
-// only; together they queue up there for a second while other paths idle. VMs that have all
-// just started are in no sum yet.
-func (f *Fleet) expected(k *known) float64 {
-	return f.load(k) + max(k.used.Memory-k.told.Memory, 0)*float64(max(f.others, f.live-1))
+// Hundreds of requests may arrive at about the same time, after a power failure or in a burst.
+// Without the estimate each VM would find the same path the cheapest and see only its own requests,
+// and they would queue there for a second while other paths are idle. VMs that have all just
+// started are not included in remoteUsage yet.
+func (f *Fleet) expectedMemory(s *serverState) float64 {
+	return f.memoryUsed(s) + max(s.localUsage.Memory-s.publishedUsage.Memory, 0)*float64(max(f.remoteVMs, f.liveVMs-1))
 }
 
-// Outage says that the platform does not answer this VM.
-func (f *Fleet) Outage() { f.outage = true }
+// Outage records that the platform doesn't answer this VM.
+func (f *Fleet) Outage() { f.platformDown = true }
 
-// Back says that the platform answers again.
+// Back records that the platform answers again.
 func (f *Fleet) Back(now time.Duration) {
-	if f.outage {
-		f.outage, f.restored = false, now
+	if f.platformDown {
+		f.platformDown, f.platformUpAt = false, now
 	}
 }
 
-// Put takes an entry that is new or has changed.
+// Put adds or updates an entry.
 func (f *Fleet) Put(now time.Duration, server Server) {
 	if server.Name == "" {
 		server.Name = server.ID
 	}
 	if server.Draining {
-		f.leaves(now, Departure{ID: server.ID})
+		f.recordDeparture(now, Departure{ID: server.ID})
 	} else {
 		server.Draining = !f.mayReturn(now, server)
 	}
-	if k, ok := f.servers[server.ID]; ok {
-		moved := k.Address != server.Address || k.Name != server.Name
-		if moved {
-			f.index.remove(k)
+	if s, ok := f.servers[server.ID]; ok {
+		reindex := s.Address != server.Address || s.Name != server.Name
+		if reindex {
+			f.index.remove(s)
 		}
-		k.Server, k.missing = server, 0
-		if moved {
-			f.index.add(k)
+		s.Server, s.missingRevision = server, 0
+		if reindex {
+			f.index.add(s)
 		}
 		return
 	}
-	f.add(&known{Server: server})
+	f.addServer(&serverState{Server: server})
 	if !server.Draining {
-		f.replaceAt(now, server)
+		f.replacePredecessors(now, server)
 	}
 }
 
-// replaceAt ends the other processes at a new server's address and those before it
-// under its name, whether or not their entries are still to be trusted; or the new one,
-// if an entry there was written later.
+// replacePredecessors deletes the other processes at a new server's address and the former ones
+// under its name, even if their entries are missing and within the grace period. If an entry there
+// was written later, it deletes the new one instead.
 //
-// What can go wrong: a VM that starts finds the entries of a process that crashed
-// and of its successor in one list, in any order. If it took the one that it reads
-// last, the successor would count as gone, here and, once told, on every other VM.
-// So the entries' revisions decide, and each VM decides for itself. An entry of a
-// service that nobody knows ends no other: whoever wrote it is none of the servers.
-func (f *Fleet) replaceAt(now time.Duration, server Server) {
-	for _, k := range f.index.near(server.Address, server.Name) {
-		id := k.ID
-		if id == server.ID || k.Draining {
+// A VM that starts finds the entries of a crashed process and of its successor in one list, in any
+// order. If the last one read won, the successor could count as gone, on this VM and, once
+// published, on every other VM. So each VM decides by the entries' revisions. An entry of an
+// unknown service replaces no other, since its writer is none of the servers.
+func (f *Fleet) replacePredecessors(now time.Duration, server Server) {
+	for _, s := range f.index.atAddressOrName(server.Address, server.Name) {
+		id := s.ID
+		if id == server.ID || s.Draining {
 			continue
 		}
-		if k.Service != server.Service && !f.services[server.Service] {
+		if s.Service != server.Service && !f.services[server.Service] {
 			continue
 		}
-		if f.mayBeCopied(server.Revision, k.Revision) {
-			f.left[server.ID] = departure{at: now, revision: f.copied, copied: true}
+		if f.mayPredateRestore(server.Revision, s.Revision) {
+			f.departed[server.ID] = departureRecord{at: now, revision: f.restoreVersion, beforeRestore: true}
 			f.servers[server.ID].Draining = true
 			return
 		}
-		if k.missing == 0 && k.Revision > server.Revision {
+		if s.missingRevision == 0 && s.Revision > server.Revision {
 			id = server.ID
 		}
-		f.forget(id)
-		f.left[id] = departure{at: now}
+		f.deleteServer(id)
+		f.departed[id] = departureRecord{at: now}
 	}
 }
 
-func (f *Fleet) add(k *known) {
-	f.servers[k.ID] = k
-	f.index.add(k)
+func (f *Fleet) addServer(s *serverState) {
+	f.servers[s.ID] = s
+	f.index.add(s)
 }
 
-func (f *Fleet) forget(id string) {
-	if k, ok := f.servers[id]; ok {
-		f.index.remove(k)
+func (f *Fleet) deleteServer(id string) {
+	if s, ok := f.servers[id]; ok {
+		f.index.remove(s)
 		delete(f.servers, id)
-		f.limits.Forget(id)
+		f.rateLimits.Forget(id)
 	}
 }
 
-// Replace takes a whole list, as it was at a revision.
+// Replace sets the whole list of entries as of a revision.
 func (f *Fleet) Replace(now time.Duration, list []Server, revision history.Version) {
-	f.enter(now, revision)
+	f.noteListVersion(now, revision)
 	present := make(map[string]bool, len(list))
 	for _, server := range list {
 		present[server.ID] = true
 		f.Put(now, server)
 	}
 	for id := range f.servers {
-		if !present[id] && f.servers[id].missing == 0 {
-			f.remove(now, id, revision)
+		if !present[id] && f.servers[id].missingRevision == 0 {
+			f.entryRemoved(now, id, revision)
 		}
 	}
 }
 
-// Tidy drops the servers whose entries did not come back and forgets those that
-// left long ago.
+// Tidy deletes the servers whose missing entries didn't come back in time, and forgets departures
+// after departureTTL.
 func (f *Fleet) Tidy(now time.Duration) {
-	for id, k := range f.servers {
-		if k.missing > 0 && !f.outage && now >= f.restored+LapseGrace {
-			f.drop(now, Departure{ID: id, Revision: k.missing})
+	for id, s := range f.servers {
+		if s.missingRevision > 0 && !f.platformDown && now >= f.platformUpAt+ExpiryGrace {
+			f.dropServer(now, Departure{ID: id, Revision: s.missingRevision})
 		}
 	}
 	f.pauses.Tidy(now)
-	f.returnCopied(now)
-	for id, left := range f.left {
-		if _, present := f.servers[id]; !present && now > left.at+leftKept {
-			delete(f.left, id)
+	f.reinstateAfterRestore(now)
+	for id, departure := range f.departed {
+		if _, present := f.servers[id]; !present && now > departure.at+departureTTL {
+			delete(f.departed, id)
 		}
 	}
 }
 
 // Suspect keeps new requests off a server for a time.
 func (f *Fleet) Suspect(now time.Duration, id string, span time.Duration) {
-	if k, ok := f.servers[id]; ok {
-		k.suspectUntil = max(k.suspectUntil, now+span)
+	if s, ok := f.servers[id]; ok {
+		s.suspectUntil = max(s.suspectUntil, now+span)
 	}
 }
 
-// fullFor is how long a server that had no room is held to be full at first: a
-// request or two end there in that time. It doubles up to fullMost while the server
-// goes on refusing: what is stuck there takes seconds, and each try costs a request
-// one of its few repeats. A server that refused nothing for fullForgets starts anew.
+// A server that rejected a request for lack of capacity counts as full for minFullBackoff at first:
+// a request or two end there in that time. The time doubles up to maxFullBackoff while the server
+// goes on rejecting, since a blocked server takes seconds to recover and each try costs a request
+// one of its few retries. It starts anew if the server rejected nothing for fullBackoffReset.
 const (
-	fullFor     = 200 * time.Millisecond
-	fullMost    = 1600 * time.Millisecond
-	fullForgets = time.Second
+	minFullBackoff   = 200 * time.Millisecond
+	maxFullBackoff   = 1600 * time.Millisecond
+	fullBackoffReset = time.Second
 )
 
-// Full says that a server had no room for a request just now.
+// Full records that a server just rejected a request for lack of capacity.
 func (f *Fleet) Full(now time.Duration, id string) {
-	k, ok := f.servers[id]
-	if !ok || now < k.fullUntil {
+	s, ok := f.servers[id]
+	if !ok || now < s.fullUntil {
 		return
 	}
-	if k.fullSpan == 0 || now > max(k.fullUntil, k.heardFullUntil)+fullForgets {
-		k.fullSpan = fullFor
+	if s.fullBackoff == 0 || now > max(s.fullUntil, s.remoteFullUntil)+fullBackoffReset {
+		s.fullBackoff = minFullBackoff
 	} else {
-		k.fullSpan = min(2*k.fullSpan, fullMost)
+		s.fullBackoff = min(2*s.fullBackoff, maxFullBackoff)
 	}
-	k.fullUntil = now + k.fullSpan
+	s.fullUntil = now + s.fullBackoff
 }
 
-// heardFullFor is how long a server counts as full at least after other VMs said so: longer
-// than the time between two tellings, so that a server which goes on refusing isn't offered
+// minRemoteFull is the minimum time that a server counts as full after other VMs reported it. It is
+// longer than the publishing interval, so that a server which goes on rejecting isn't offered
 // requests in between.
-const heardFullFor = 400 * time.Millisecond
+const minRemoteFull = 400 * time.Millisecond
 
-// manyVMs is how many VMs there are at least for others' words on full servers to count. A VM
-// among few is refused soon enough itself, and what is full for one request has room for a
-// smaller one; left alone by all, a server idles that may be the only one with its layers.
-const manyVMs = 40
+// minVMsForRemoteFull is the minimum number of VMs for which reports of other VMs on full servers
+// are used. In a smaller deployment each VM soon learns it itself, a server that is full for one
+// request may have capacity for a smaller one, and a server avoided by all VMs would be idle even
+// if it is the only one with its layers.
+const minVMsForRemoteFull = 40
 
-// FullNow lists the servers that had no room for this VM's requests, for as long as they
-// count as full, and how long each was held to be so. They are to be told to the other VMs.
+// FullNow returns the servers that currently count as full because they rejected this VM's
+// requests, with their backoff, to be published to the other VMs.
 func (f *Fleet) FullNow(now time.Duration) map[string]time.Duration {
 	full := make(map[string]time.Duration)
-	for id, k := range f.servers {
-		if now < k.fullUntil {
-			full[id] = k.fullSpan
+	for id, s := range f.servers {
+		if now < s.fullUntil {
+			full[id] = s.fullBackoff
 		}
 	}
 	return full
 }
 
-// HeardFull takes the servers that had no room for other VMs' requests, and how long those
-// hold them to be full. spread, from 0 to 1, differs from VM to VM: it has them come back one
-// after the other, so that few are refused before all hear that there is still no room.
+// HeardFull records the servers that rejected other VMs' requests for lack of capacity, with their
+// backoff. spread, from 0 to 1, differs between VMs, so that they retry one after the other and few
+// requests are rejected before all VMs learn that the server is still full.
 //
-// What can go wrong: a server loses room that no VM knows of, as when requests are stuck on a
-// dead one behind it, or it leaves while the platform is away. Each VM has to be refused by
-// it before it looks elsewhere, and again as soon as it has forgotten, and each of these
-// offers takes a repeat.
+// A server may lose capacity that no VM accounts for, for example when requests hang on a dead
+// server behind it, or when it leaves during a platform outage. Without sharing, each VM would be
+// rejected before it chooses another server, and again after each backoff, and each rejection costs
+// a retry.
 func (f *Fleet) HeardFull(now time.Duration, spans map[string]time.Duration, spread float64) {
-	if f.others+1 < manyVMs {
+	if f.remoteVMs+1 < minVMsForRemoteFull {
 		return
 	}
 	for id, span := range spans {
-		k, ok := f.servers[id]
+		s, ok := f.servers[id]
 		if !ok {
 			continue
 		}
-		if !k.isFull(now) {
-			k.heardFullUntil = now + time.Duration(spread*float64(min(span, fullMost)))
+		if !s.isFull(now) {
+			s.remoteFullUntil = now + time.Duration(spread*float64(min(span, maxFullBackoff)))
 		}
-		k.heardFullUntil = max(k.heardFullUntil, now+heardFullFor)
-		k.fullSpan = max(k.fullSpan, min(span, fullMost))
+		s.remoteFullUntil = max(s.remoteFullUntil, now+minRemoteFull)
+		s.fullBackoff = max(s.fullBackoff, min(span, maxFullBackoff))
 	}
 }
 
-// isFull tells whether a server counts as full by its own word, to this VM or another one.
-func (k *known) isFull(now time.Duration) bool {
-	return now < max(k.fullUntil, k.heardFullUntil)
+// isFull reports whether a server counts as full because it rejected requests of this VM or of
+// others.
+func (s *serverState) isFull(now time.Duration) bool {
+	return now < max(s.fullUntil, s.remoteFullUntil)
 }
 
-// room is what fits beside a range held, in tokens times layers.
-func (k *known) room(engine *routes.Engine, held Held) float64 {
-	return engine.Room(engine.Cards[k.Card], held.Layers.Len())
+// requestCapacity is the memory for requests beside the weights of a range of layers, in tokens
+// times layers.
+func (s *serverState) requestCapacity(engine *routes.Engine, held Held) float64 {
+	return engine.Room(engine.Cards[s.Card], held.Layers.Len())
 }
 
-// Used is the part of a server's room for requests that is taken, as far as this VM
+// Used returns the fraction of a server's memory for requests that is in use, as far as this VM
 // knows.
 func (f *Fleet) Used(engine *routes.Engine, id string) float64 {
-	k, ok := f.servers[id]
-	if !ok || engine == nil || len(k.Holds) == 0 {
+	s, ok := f.servers[id]
+	if !ok || engine == nil || len(s.Holds) == 0 {
 		return 0
 	}
-	room := k.room(engine, k.Holds[0])
-	if room <= 0 {
+	capacity := s.requestCapacity(engine, s.Holds[0])
+	if capacity <= 0 {
 		return 0
 	}
-	return f.load(k) / room
+	return f.memoryUsed(s) / capacity
 }
 
-// Known finds a server by its ID, unless it is gone.
+// Known returns a server by its ID, or false if it is gone.
 func (f *Fleet) Known(id string) (Server, bool) {
-	k, ok := f.servers[id]
+	s, ok := f.servers[id]
 	if !ok {
 		return Server{}, false
 	}
-	return k.Server, true
+	return s.Server, true
 }
 
-// Servers lists a service's servers in order of ID, those that leave left out.
+// Servers returns the servers of a service ordered by ID, without those that are draining.
 func (f *Fleet) Servers(service string) []Server {
 	var list []Server
-	for _, k := range f.index.inOrder(f.servers) {
-		if k.Service == service && !k.Draining {
-			list = append(list, k.Server)
+	for _, s := range f.index.sortedByID(f.servers) {
+		if s.Service == service && !s.Draining {
+			list = append(list, s.Server)
 		}
 	}
 	return list
 }
 
-// Load is what a request puts on servers while it runs.
+// Load is what a running request uses on servers.
 type Load struct {
-	// First is the server that it was sent to.
+	// First is the server that the request was sent to.
 	First string
 	Parts []LoadPart
 }
@@ -445,38 +447,38 @@
 	Memory float64
 }
 
-// Begin counts a request on its servers.
+// Begin adds a request's load to its servers.
 func (f *Fleet) Begin(load Load) {
-	f.turns++
-	if k, ok := f.servers[load.First]; ok {
-		k.turn = f.turns
+	f.requestCount++
+	if s, ok := f.servers[load.First]; ok {
+		s.lastRequest = f.requestCount
 	}
-	f.count(load, 1)
+	f.applyLoad(load, 1)
 }
 
-// End takes a request off its servers.
-func (f *Fleet) End(load Load) { f.count(load, -1) }
+// End removes a request's load from its servers.
+func (f *Fleet) End(load Load) { f.applyLoad(load, -1) }
 
-func (f *Fleet) count(load Load, by int) {
-	// A server that was gone and is back starts from nothing, while requests of before it
-	// went still end.
-	if k, ok := f.servers[load.First]; ok {
-		k.used.Running = max(k.used.Running+by, 0)
+func (f *Fleet) applyLoad(load Load, sign int) {
+	// The usage never drops below 0: a server that was gone and is back starts at 0, while requests
+	// from before still end.
+	if s, ok := f.servers[load.First]; ok {
+		s.localUsage.Running = max(s.localUsage.Running+sign, 0)
 	}
 	for _, part := range load.Parts {
-		if k, ok := f.servers[part.ID]; ok {
-			k.used.Memory = max(k.used.Memory+float64(by)*part.Memory, 0)
+		if s, ok := f.servers[part.ID]; ok {
+			s.localUsage.Memory = max(s.localUsage.Memory+float64(sign)*part.Memory, 0)
 		}
 	}
 }
 
-// mayTake tells whether a server may get a new request.
-func (f *Fleet) mayTake(now time.Duration, k *known, request Request) bool {
-	if len(request.Only) > 0 && !slices.Contains(request.Only, k.ID) {
+// isEligible reports whether a server may get a new request.
+func (f *Fleet) isEligible(now time.Duration, s *serverState, request Request) bool {
+	if len(request.Only) > 0 && !slices.Contains(request.Only, s.ID) {
 		return false
 	}
-	if k.DataCentre != request.DataCentre && now < f.unreached[k.DataCentre] {
+	if s.DataCentre != request.DataCentre && now < f.unreachableUntil[s.DataCentre] {
 		return false
 	}
-	return !k.Draining && now >= k.suspectUntil && !f.pausedNow(now, k.ID, request) && !slices.Contains(request.Avoid, k.ID)
+	return !s.Draining && now >= s.suspectUntil && !f.isPaused(now, s.ID, request) && !slices.Contains(request.Avoid, s.ID)
 }
--- a/internal/core/backends/backends_test.go
+++ b/internal/core/backends/backends_test.go
@@ -35,7 +35,7 @@
 	return choice.Path.String()
 }
 
-func TestTheFastestPathOfTheDataCentreIsTaken(t *testing.T) {
+func TestFastestPathOfTheDataCentreIsChosen(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Replace(0, []backends.Server{
@@ -44,16 +44,15 @@
 	}, 1)
 	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s2[40,80)"))
 	f.Suspect(0, "s1", time.Second)
-	g.Expect(path(g, f, request())).To(Equal("s3[0,40) s2[40,80)"), "half of it slow rather than in another data centre")
+	g.Expect(path(g, f, request())).To(Equal("s3[0,40) s2[40,80)"), "a path half on slow cards is preferred to another data centre")
 	f.Put(0, server("s6", "a", "slow", 40, 80))
 	f.Suspect(0, "s2", time.Second)
-	g.Expect(path(g, f, request())).To(Equal("s4[0,40) s5[40,80)"), "whole in the other data centre rather than all of it slow")
+	g.Expect(path(g, f, request())).To(Equal("s4[0,40) s5[40,80)"), "another data centre is preferred to a path entirely on slow cards")
 }
 
-// Symptom: answers take twice as long on a fleet with room. Sequence: a data
-// centre's servers are loaded, paths go on in another one for some layers. Cause:
-// crossings look cheaper than loaded servers, and fill the pipe.
-func TestAPathCrossesOnlyWhereNoDataCentreHasAllLayers(t *testing.T) {
+// Guards against filling the link between data centres, which makes answers take twice as long on a
+// fleet with free capacity: a crossing looks cheaper than a loaded local server.
+func TestPathCrossesDataCentresOnlyIfNoneHasAllLayers(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Replace(0, []backends.Server{
@@ -65,10 +64,9 @@
 	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s3[40,80)"))
 }
 
-// Symptom: requests are offered to servers behind a cut, and their repeats are used up there.
-// Sequence: the way to a data centre is lost; the only fast path lies in it. Cause: what is
-// known of the way isn't used for the choice. It isn't believed for longer than it is told.
-func TestServersOutOfReachGetNothing(t *testing.T) {
+// Guards against spending a request's retries on servers in an unreachable data centre that has the
+// only fast path. Reports of unreachable data centres expire if they aren't repeated.
+func TestUnreachableServersGetNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Replace(0, []backends.Server{
@@ -78,19 +76,18 @@
 	}, 1)
 	g.Expect(path(g, f, request())).To(Equal("s3[0,40) s4[40,80)"))
 	f.Unreached(0, []string{"a", "b"})
-	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s2[40,80)"), "its own data centre is always reached")
+	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s2[40,80)"), "the VM's own data centre is always reachable")
 	_, err := f.Instance(0, "plain", request())
 	g.Expect(errors.Is(err, backends.ErrNoServer)).To(BeTrue())
 	_, err = f.Instance(time.Second, "plain", request())
-	g.Expect(err).NotTo(HaveOccurred(), "nobody says so any more")
+	g.Expect(err).NotTo(HaveOccurred(), "the report has expired")
 	f.Unreached(0, nil)
 	g.Expect(path(g, f, request())).To(Equal("s3[0,40) s4[40,80)"))
 }
 
-// Symptom: servers refuse requests for want of memory though others have room.
-// Sequence: VMs of a data centre choose the same path. Cause: none knows what the
-// others put there.
-func TestWhatOtherVMsPutOnAServerCounts(t *testing.T) {
+// Guards against rejections for lack of memory while other servers are free: the VMs of a data
+// centre choose the same path because none accounts for the others' load.
+func TestLoadFromOtherVMsIsCounted(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Replace(0, []backends.Server{
@@ -102,7 +99,7 @@
 	f.Heard(map[string]backends.Usage{"s2": {Memory: 900_000}}, 1)
 	f.Full(0, "s3")
 	_, err := f.Path(0, service(), request())
-	g.Expect(err).To(MatchError(backends.ErrFull), "none of them has room")
+	g.Expect(err).To(MatchError(backends.ErrFull), "no path has capacity")
 	forced := request()
 	forced.Force = true
 	g.Expect(path(g, f, forced)).To(HavePrefix("s1[0,40) "))
@@ -110,9 +107,9 @@
 	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s2[40,80)"))
 }
 
-// Symptom: a server counts as full that hardly works. Sequence: many requests run
-// a few of its layers. Cause: each is counted with the memory of all of them.
-func TestARequestTakesMemoryForItsLayersOnly(t *testing.T) {
+// Guards against treating a lightly used server as full: requests that run only a few of its layers
+// must not be counted with the memory of all layers.
+func TestRequestLoadCountsOnlyItsLayers(t *testing.T) {
 	g := NewWithT(t)
 	load := backends.Choice{Path: chain.Path{
 		{ID: "s1", Layers: api.Layers{From: 0, To: 5}}, {ID: "s2", Layers: api.Layers{From: 5, To: 80}},
@@ -120,7 +117,7 @@
 	g.Expect(load.Parts).To(Equal([]backends.LoadPart{{ID: "s1", Memory: 5_000}, {ID: "s2", Memory: 75_000}}))
 }
 
-func TestAFullPathIsToldFromNone(t *testing.T) {
+func TestErrFullDiffersFromErrNoServer(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Replace(0, []backends.Server{server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 40, 80)}, 1)
@@ -135,36 +132,35 @@
 	g.Expect(errors.Is(err, backends.ErrNoServer)).To(BeTrue())
 	_, err = f.Path(0, service(), forced)
 	g.Expect(errors.Is(err, backends.ErrNoServer)).To(BeTrue())
-	g.Expect(err.Error()).To(ContainSubstring("[40,80)"), "the last look says which layers")
+	g.Expect(err.Error()).To(ContainSubstring("[40,80)"), "a forced choice names the uncovered layers")
 }
 
-// Symptom: requests go to a server that has stopped. Sequence: it drains, and an
-// old list or a late event shows it ready again. Cause: the last word heard wins.
-func TestAServerThatLeavesDoesNotComeBack(t *testing.T) {
+// Guards against sending requests to a server that has stopped: it drains, and an old list or a
+// late event shows it as ready again.
+func TestStaleEntryDoesNotReinstateALeavingServer(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Put(0, server("s1", "a", "fast", 0, 80))
 	f.Leave(0, backends.Departure{ID: "s1"})
 	f.Put(time.Second, server("s1", "a", "fast", 0, 80))
 	g.Expect(f.Servers("llm")).To(BeEmpty())
-	g.Expect(f.News()).To(BeEmpty(), "another VM knew it first")
+	g.Expect(f.News()).To(BeEmpty(), "another VM already published it")
 	f.Put(time.Second, server("s2", "a", "fast", 0, 80))
 	f.Remove(time.Second, "s2", 1)
 	g.Expect(f.News()).To(Equal([]backends.Departure{{ID: "s2", Revision: 1}}))
 	g.Expect(f.News()).To(BeEmpty())
 }
 
-// Symptom: requests are refused with 421 for two seconds after the store is back.
-// Sequence: a server restarted during the outage; its old entry is missing and
-// kept for a grace. Cause: the new process at its address isn't taken as proof.
-func TestANewProcessAtAnAddressEndsTheOldOne(t *testing.T) {
+// Guards against requests that are refused with 421 for two seconds after a platform outage: a
+// server restarted during the outage, and its old entry is missing but within the grace period.
+func TestNewProcessReplacesTheOldOneAtItsAddress(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Put(0, server("old", "a", "fast", 0, 80))
 	f.Outage()
 	f.Back(time.Second)
 	f.Remove(time.Second, "old", 1)
-	g.Expect(f.Servers("llm")).To(HaveLen(1), "it may only have lapsed")
+	g.Expect(f.Servers("llm")).To(HaveLen(1), "the entry may only have expired")
 	again := server("new", "a", "fast", 0, 80)
 	again.Address = "old:1"
 	f.Put(time.Second, again)
@@ -172,11 +168,10 @@
 	g.Expect(f.Servers("llm")[0].ID).To(Equal("new"))
 }
 
-// Symptom: a server that came back after a crash gets no request on any VM for good.
-// Sequence: a VM starts and reads the entries of the crashed process and of its
-// successor in one list. Cause: the one read last ends the other, and the other VMs
-// are told.
-func TestOfTwoEntriesAtAnAddressTheNewerOneCounts(t *testing.T) {
+// Guards against a restarted server getting no requests from any VM: a starting VM reads the
+// entries of the crashed process and of its successor in one list, lets the last one read win, and
+// publishes that to the other VMs.
+func TestNewerOfTwoEntriesAtAnAddressWins(t *testing.T) {
 	old, again := server("old", "a", "fast", 0, 80), server("new", "a", "fast", 0, 80)
 	old.Revision, again.Revision, again.Address = 5, 9, old.Address
 	for _, list := range [][]backends.Server{{old, again}, {again, old}} {
@@ -188,9 +183,9 @@
 	}
 }
 
-// Symptom: first events are late though servers idle. Sequence: a server works at a
-// quarter of its speed; it says so when asked. Cause: its entry is all that counts.
-func TestASlowServerGetsLessUntilItIsFastAgain(t *testing.T) {
+// Guards against late first events while servers are idle: a server works at a quarter of its speed
+// and reports that, but only its entry is considered.
+func TestSlowServerIsAvoidedUntilItRecovers(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Replace(0, []backends.Server{server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 0, 40), server("s3", "a", "fast", 40, 80)}, 1)
@@ -204,25 +199,24 @@
 	}
 	g.Expect(at(time.Second)).To(Equal("s2[0,40) s3[40,80)"))
 	g.Expect(f.Paces(time.Second, time.Second)).To(Equal(map[string]float64{"s1": 4}))
-	g.Expect(f.Slow(3*time.Second, time.Second)).To(HaveLen(1), "asked again")
+	g.Expect(f.Slow(3*time.Second, time.Second)).To(HaveLen(1), "a slow server is due to be asked again")
 	f.Paced(3*time.Second, "s1", 1)
 	g.Expect(at(3 * time.Second)).To(Equal("s1[0,40) s3[40,80)"))
-	g.Expect(f.Paces(3*time.Second, time.Second)).To(Equal(map[string]float64{"s1": 1}), "others know it as slow")
+	g.Expect(f.Paces(3*time.Second, time.Second)).To(Equal(map[string]float64{"s1": 1}), "other VMs still count it as slow")
 	g.Expect(f.Slow(5*time.Second, time.Second)).To(BeEmpty())
 }
 
-// Symptom: a range without a holder is not covered for two seconds after the platform's
-// outage. Sequence: a server falls silent; the platform is away until its entry has
-// lapsed; then lapsed entries are given time to come back. Cause: what other servers
-// found before is forgotten.
-func TestAServerThatFellSilentBeforeAnOutageIsNotWaitedFor(t *testing.T) {
+// Guards against a range of layers staying uncovered for two seconds after a platform outage: a
+// server stops responding, its entry expires during the outage, and the grace period for expired
+// entries applies although other servers had reported it.
+func TestServerUnresponsiveBeforeAnOutageStaysUnresponsive(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Replace(time.Second, []backends.Server{server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 40, 80)}, 1)
 	f.Dark(2*time.Second, "s1", 4*time.Second)
 	g.Expect(f.IsDark(3*time.Second, "s1")).To(BeTrue())
 	f.Outage()
-	g.Expect(f.IsDark(8*time.Second, "s1")).To(BeFalse(), "its entry is there as far as this VM knows")
+	g.Expect(f.IsDark(8*time.Second, "s1")).To(BeFalse(), "this VM still has its entry")
 	f.Back(12 * time.Second)
 	f.Replace(12*time.Second, nil, 9)
 	g.Expect(f.IsDark(12*time.Second, "s1")).To(BeTrue())
@@ -230,25 +224,25 @@
 	again := server("s1", "a", "fast", 0, 40)
 	again.Revision = 12
 	f.Put(13*time.Second, again)
-	g.Expect(f.IsDark(13*time.Second, "s1")).To(BeFalse(), "it has written its entry again")
+	g.Expect(f.IsDark(13*time.Second, "s1")).To(BeFalse(), "its entry was written again")
 }
 
-// Symptom: a server counts as slow for ever. Sequence: two VMs tell one another what
-// each heard. Cause: a word that goes round looks new each time.
-func TestAPaceThatWasHeardIsNotPassedOn(t *testing.T) {
+// Guards against a server counting as slow for ever because two VMs keep forwarding each other's
+// report of its pace.
+func TestRemotePaceIsNotForwarded(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Put(0, server("s1", "a", "fast", 0, 80))
 	f.HeardPace(time.Second, "s1", 4)
 	g.Expect(f.Paces(time.Second, time.Second)).To(BeEmpty())
 	g.Expect(f.Pace(time.Second, "s1")).To(Equal(4.0))
-	g.Expect(f.Pace(10*time.Second, "s1")).To(Equal(1.0), "old word")
+	g.Expect(f.Pace(10*time.Second, "s1")).To(Equal(1.0), "the pace has expired")
 }
 
-// Symptom: first events are a second late right after a loss of power. Sequence: the
-// callers of all VMs come back within a moment; each VM finds the same path the
-// cheapest. Cause: what the others put there since they told it isn't thought of.
-func TestVMsThatChooseAtOnceSpreadOut(t *testing.T) {
+// Guards against first events that are a second late after a power failure: the clients of all VMs
+// reconnect at about the same time, and each VM finds the same path the cheapest because it ignores
+// what the others added since they last published their loads.
+func TestConcurrentChoicesOfVMsSpreadOut(t *testing.T) {
 	g := NewWithT(t)
 	fleets := make([]*backends.Fleet, 8)
 	for i := range fleets {
@@ -274,10 +268,10 @@
 			}
 		}
 	}
-	g.Expect(slow).To(BeNumerically(">=", 16), "of 96, each VM alone would send none there")
+	g.Expect(slow).To(BeNumerically(">=", 16), "of 96; a VM that ignores the others sends none there")
 }
 
-func TestMovedRequestsKeepTheirFirstPart(t *testing.T) {
+func TestMovedRequestKeepsItsFirstPart(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Replace(0, []backends.Server{
@@ -290,10 +284,9 @@
 	g.Expect(path(g, f, moved)).To(Equal("s1[0,40) s4[40,80)"))
 }
 
-// Symptom: servers that were cut off for some seconds never get a request again.
-// Sequence: their entries lapse, the cut heals, they write their entries again under
-// the same ID. Cause: an ID that left is taken to be gone for good.
-func TestAServerWhoseEntryIsWrittenAgainIsBack(t *testing.T) {
+// Guards against servers never getting requests again after they were cut off for some seconds:
+// their entries expire and are written again under the same ID.
+func TestRewrittenEntryReinstatesAServer(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	first := server("s1", "a", "fast", 0, 80)
@@ -301,21 +294,20 @@
 	f.Put(0, first)
 	f.Remove(time.Second, "s1", 9)
 	f.Put(time.Second, first)
-	g.Expect(f.Servers("llm")).To(BeEmpty(), "an old word")
+	g.Expect(f.Servers("llm")).To(BeEmpty(), "an entry older than the departure")
 	again := first
 	again.Revision = 12
 	f.Put(5*time.Second, again)
 	g.Expect(f.Servers("llm")).To(HaveLen(1))
 	f.Leave(6*time.Second, backends.Departure{ID: "s1", Revision: 9})
-	g.Expect(f.Servers("llm")).To(HaveLen(1), "another VM's word is older than the entry")
+	g.Expect(f.Servers("llm")).To(HaveLen(1), "the departure is older than the entry")
 	f.Leave(6*time.Second, backends.Departure{ID: "s1", Revision: 20})
 	g.Expect(f.Servers("llm")).To(BeEmpty())
 }
 
-// Symptom: requests are refused with 421 by servers that crashed and came back.
-// Sequence: a new process registers; a sign of life of the old one, under way for
-// seconds, is written after its entry was removed. Cause: it is taken for a return.
-func TestALateSignOfLifeBringsNobodyBack(t *testing.T) {
+// Guards against requests that are refused with 421 by restarted servers: a delayed heartbeat of
+// the old process is written after its entry was removed and its successor registered.
+func TestLateHeartbeatDoesNotReinstateAReplacedProcess(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	old := server("old", "a", "fast", 0, 80)
--- a/internal/core/backends/bench_test.go
+++ b/internal/core/backends/bench_test.go
@@ -9,8 +9,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/backends"
 )
 
-// fleetOf lists servers of three data centres with four to a copy.
-func fleetOf(n int) []backends.Server {
+// uniformServers returns servers in three data centres, with four servers to a copy of the layers.
+func uniformServers(n int) []backends.Server {
 	var list []backends.Server
 	for i := range n {
 		from := i % 4 * 20
@@ -21,8 +21,8 @@
 	return list
 }
 
-// BenchmarkPath is the choice of one request's path.
-func BenchmarkPath(b *testing.B) { benchmarkPath(b, fleetOf, 33, 86, 770, 3000) }
+// BenchmarkPath measures choosing the path of one request.
+func BenchmarkPath(b *testing.B) { benchmarkPath(b, uniformServers, 33, 86, 770, 3000) }
 
 func benchmarkPath(b *testing.B, fleet func(int) []backends.Server, sizes ...int) {
 	for _, n := range sizes {
@@ -38,11 +38,11 @@
 	}
 }
 
-// BenchmarkReplace is the first list of a VM that starts.
+// BenchmarkReplace measures applying the first list on a VM that starts.
 func BenchmarkReplace(b *testing.B) {
 	for _, n := range []int{33, 190, 770, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := fleetOf(n)
+			list := uniformServers(n)
 			for b.Loop() {
 				backends.New().Replace(0, list, 1)
 			}
@@ -50,9 +50,9 @@
 	}
 }
 
-// unlikeFleet lists servers of three data centres whose ranges differ in length, as layouts
-// over unlike cards have them: most ranges begin and end where no other one does.
-func unlikeFleet(n int) []backends.Server {
+// mixedRangeServers returns servers in three data centres with ranges of different lengths, as
+// layouts over different cards have them: most ranges begin and end where no other one does.
+func mixedRangeServers(n int) []backends.Server {
 	var list []backends.Server
 	starts := make([]int, 3)
 	for i := range n {
@@ -69,16 +69,17 @@
 	return list
 }
 
-// BenchmarkUnlikePath is the choice of one request's path over servers with ranges of unlike
-// lengths.
-func BenchmarkUnlikePath(b *testing.B) { benchmarkPath(b, unlikeFleet, 33, 106, 195, 770) }
+// BenchmarkPathMixedRanges measures choosing the path of one request over servers with ranges of
+// different lengths.
+func BenchmarkPathMixedRanges(b *testing.B) { benchmarkPath(b, mixedRangeServers, 33, 106, 195, 770) }
 
-// BenchmarkPausedPath is a request for which all servers asked for a pause, each for another time.
+// BenchmarkPausedPath measures a request for which all servers asked for a pause, each with a
+// different end.
 func BenchmarkPausedPath(b *testing.B) {
 	for _, n := range []int{33, 195, 770} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := backends.New()
-			servers := unlikeFleet(n)
+			servers := mixedRangeServers(n)
 			f.Replace(0, servers, 1)
 			for i, s := range servers {
 				f.Pause(0, s.ID, time.Second+time.Duration(i)*time.Millisecond)
--- a/internal/core/backends/departures.go
+++ b/internal/core/backends/departures.go
@@ -7,119 +7,119 @@
 	"oleandershunt.example/oleandershunt/internal/core/history"
 )
 
-// Departure is the word that a server leaves.
+// Departure reports that a server is leaving or has left.
 type Departure struct {
 	ID string `json:"id"`
-	// Revision is the platform's revision by which its entry was gone. An entry
-	// written later shows that the server lives: it was only cut off. 0 says that it
-	// drains or was followed by another process, from which none comes back.
+	// Revision is the platform revision at which the server's entry was missing. An entry that is
+	// written later shows that the server is alive and was only cut off. 0 means that the server
+	// drains or was replaced by another process; it never comes back.
 	Revision history.Version `json:"revision,omitempty"`
 }
 
-// departure is what is remembered of a server that left.
-type departure struct {
+// departureRecord is what is kept of a server that left.
+type departureRecord struct {
 	at       time.Duration
 	revision history.Version
-	// copied says that its entry went in a former history of the platform, and came again, if
-	// at all, with the copy from which the present one began.
-	copied bool
+	// beforeRestore is set if the entry was removed in a former history of the platform. If it is
+	// present again, it came from the backup that the current history was restored from.
+	beforeRestore bool
 }
 
-// leftKept is how long a server that left is remembered: longer than any answer
-// of the platform may be old.
-const leftKept = 10 * time.Minute
+// departureTTL is how long a departure is remembered. It is longer than any answer of the platform
+// may be out of date.
+const departureTTL = 10 * time.Minute
 
-// mayReturn tells whether a server may be used that was seen to leave: its entry was
-// written after that, and no other process is at its address. A sign of life that
-// was under way for long looks like a return, too.
+// mayReturn reports whether a server that left may be used again: its entry was written after the
+// departure, and no other process is at its address, since a heartbeat that was delayed for long
+// looks like a return, too.
 func (f *Fleet) mayReturn(now time.Duration, server Server) bool {
-	left, ok := f.left[server.ID]
+	departure, ok := f.departed[server.ID]
 	if !ok {
 		return true
 	}
-	if left.revision == 0 || server.Revision <= left.revision {
+	if departure.revision == 0 || server.Revision <= departure.revision {
 		return false
 	}
-	for _, k := range f.index.addresses[server.Address] {
-		if k.ID != server.ID {
-			f.leaves(now, Departure{ID: server.ID})
+	for _, s := range f.index.byAddress[server.Address] {
+		if s.ID != server.ID {
+			f.recordDeparture(now, Departure{ID: server.ID})
 			return false
 		}
 	}
-	delete(f.left, server.ID)
+	delete(f.departed, server.ID)
 	return true
 }
 
-// Remove takes the word that the entry of a name isn't there any more, or names no
-// server, by a revision. Whatever life of the server it stood for is gone.
+// Remove records that the entry of a name is missing, or no longer describes a server, as of a
+// revision. Every process under that name is gone.
 func (f *Fleet) Remove(now time.Duration, name string, revision history.Version) {
-	for _, k := range slices.Clone(f.index.names[name]) {
-		if k.Revision <= revision {
-			f.remove(now, k.ID, revision)
+	for _, s := range slices.Clone(f.index.byName[name]) {
+		if s.Revision <= revision {
+			f.entryRemoved(now, s.ID, revision)
 		}
 	}
 }
 
-func (f *Fleet) remove(now time.Duration, id string, revision history.Version) {
-	k := f.servers[id]
-	if f.outage || (f.restored > 0 && now < f.restored+LapseGrace) {
-		k.missing = revision
+func (f *Fleet) entryRemoved(now time.Duration, id string, revision history.Version) {
+	s := f.servers[id]
+	if f.platformDown || (f.platformUpAt > 0 && now < f.platformUpAt+ExpiryGrace) {
+		s.missingRevision = revision
 		return
 	}
-	f.drop(now, Departure{ID: id, Revision: revision})
+	f.dropServer(now, Departure{ID: id, Revision: revision})
 }
 
-func (f *Fleet) drop(now time.Duration, gone Departure) {
-	f.forget(gone.ID)
-	f.leaves(now, gone)
+func (f *Fleet) dropServer(now time.Duration, departure Departure) {
+	f.deleteServer(departure.ID)
+	f.recordDeparture(now, departure)
 }
 
-// SaysLeaving takes a server's own word that it leaves. Its process never comes back from
-// that, whatever an entry says. It returns whether that is news.
+// SaysLeaving records that a server announced its own departure. Its process never returns from
+// that, whatever its entry says. It reports whether that is new.
 func (f *Fleet) SaysLeaving(now time.Duration, id string) bool {
-	left, known := f.left[id]
-	f.leaves(now, Departure{ID: id})
-	if k, ok := f.servers[id]; ok {
-		k.Draining = true
+	previous, known := f.departed[id]
+	f.recordDeparture(now, Departure{ID: id})
+	if s, ok := f.servers[id]; ok {
+		s.Draining = true
 	}
-	return !known || left.revision > 0
+	return !known || previous.revision > 0
 }
 
-// leaves notes that a server leaves or has left. That it drains stays true.
-func (f *Fleet) leaves(now time.Duration, gone Departure) {
-	known, ok := f.left[gone.ID]
+// recordDeparture records that a server leaves or has left. A departure with revision 0 stays
+// final.
+func (f *Fleet) recordDeparture(now time.Duration, departure Departure) {
+	previous, ok := f.departed[departure.ID]
 	if !ok {
-		f.news = append(f.news, gone)
+		f.newDepartures = append(f.newDepartures, departure)
 	}
-	if ok && known.revision == 0 {
-		gone.Revision = 0
+	if ok && previous.revision == 0 {
+		departure.Revision = 0
 	}
-	f.left[gone.ID] = departure{at: now, revision: gone.Revision}
+	f.departed[departure.ID] = departureRecord{at: now, revision: departure.Revision}
 }
 
-// News lists the servers that were found to leave since it was last asked, for VMs
-// that the platform doesn't tell.
+// News returns the departures found since the last call, for VMs that don't watch the platform.
 func (f *Fleet) News() []Departure {
-	news := f.news
-	f.news = nil
-	return news
+	departures := f.newDepartures
+	f.newDepartures = nil
+	return departures
 }
 
-// Leave takes another VM's word that a server leaves or has left. What this VM read
-// later goes before it.
-func (f *Fleet) Leave(now time.Duration, gone Departure) {
-	copied := gone.Revision > 0 && gone.Revision.History() < f.copied.History()
-	if copied {
-		gone.Revision = f.copied
+// Leave applies another VM's report of a departure, unless this VM has read a newer entry of the
+// server.
+func (f *Fleet) Leave(now time.Duration, departure Departure) {
+	beforeRestore := departure.Revision > 0 && departure.Revision.History() < f.restoreVersion.History()
+	if beforeRestore {
+		departure.Revision = f.restoreVersion
 	}
-	k, ok := f.servers[gone.ID]
-	if ok && gone.Revision > 0 && k.Revision > gone.Revision {
+	s, ok := f.servers[departure.ID]
+	if ok && departure.Revision > 0 && s.Revision > departure.Revision {
 		return
 	}
-	if left, known := f.left[gone.ID]; !known || gone.Revision == 0 || gone.Revision > left.revision && left.revision > 0 {
-		f.left[gone.ID] = departure{at: now, revision: gone.Revision, copied: copied}
+	if previous, known := f.departed[departure.ID]; !known || departure.Revision == 0 || departure.Revision > previous.revision && previous.revision > 0 {
+		f.departed[departure.ID] = departureRecord{at: now, revision: departure.Revision, beforeRestore: beforeRestore}
 	}
 	if ok {
-		k.Draining = true
+		s.Draining = true
 	}
 }
--- a/internal/core/backends/histories.go
+++ b/internal/core/backends/histories.go
@@ -7,58 +7,59 @@
 )
 
 const (
-	// usualSigns is the time between two signs of life of a server where it isn't told.
-	usualSigns = 1200 * time.Millisecond
-	// signsMissed is how many of them are missed until the entry of a server that has gone is
-	// gone too and all VMs know it.
-	signsMissed = 4
+	// defaultHeartbeatInterval is the time between two heartbeats of a server if it isn't
+	// configured.
+	defaultHeartbeatInterval = 1200 * time.Millisecond
+	// missedHeartbeats is the number of heartbeats after which the entry of a server that is gone
+	// has expired and all VMs know it.
+	missedHeartbeats = 4
 )
 
-// Signs takes the time between two signs of life of a server; 0 leaves the usual one.
+// Signs sets the time between two heartbeats of a server. 0 keeps the current value.
 func (f *Fleet) Signs(every time.Duration) {
 	if every > 0 {
-		f.signs = every
+		f.heartbeatInterval = every
 	}
 }
 
-// enter takes the version of a list. The first one of another history is of a platform that
-// came back from a copy: entries that it lacks may be written again, and those of servers that
-// had left may be as old as the copy.
-func (f *Fleet) enter(now time.Duration, listed history.Version) {
-	first := f.copied == 0
-	if !first && listed.History() <= f.copied.History() {
+// noteListVersion records the version of a list. If it is the first list of a later history, the
+// platform was restored from a backup: entries that are missing may be written again, and entries
+// of servers that had left may be as old as the backup.
+func (f *Fleet) noteListVersion(now time.Duration, listed history.Version) {
+	first := f.restoreVersion == 0
+	if !first && listed.History() <= f.restoreVersion.History() {
 		return
 	}
-	f.copied = listed
+	f.restoreVersion = listed
 	if first {
 		return
 	}
-	f.outage, f.restored = false, now
-	for id, left := range f.left {
-		if left.revision > 0 {
-			f.left[id] = departure{at: now, revision: listed, copied: true}
+	f.platformDown, f.platformUpAt = false, now
+	for id, departure := range f.departed {
+		if departure.revision > 0 {
+			f.departed[id] = departureRecord{at: now, revision: listed, beforeRestore: true}
 		}
 	}
 }
 
-// mayBeCopied tells whether an entry may be as old as the copy, though what is known of
-// another one is of a former history.
-func (f *Fleet) mayBeCopied(entry, other history.Version) bool {
-	return entry <= f.copied && other.History() < entry.History()
+// mayPredateRestore reports whether an entry may be as old as the backup although the other version
+// is from a former history.
+func (f *Fleet) mayPredateRestore(entry, other history.Version) bool {
+	return entry <= f.restoreVersion && other.History() < entry.History()
 }
 
-// returnCopied has servers back whose entries were only in the copy, once they would have
-// gone if nobody gave signs of life.
-func (f *Fleet) returnCopied(now time.Duration) {
-	for id, left := range f.left {
-		k, ok := f.servers[id]
-		if !left.copied || !ok || k.missing > 0 || f.outage || now < max(left.at, f.restored)+signsMissed*f.signs {
+// reinstateAfterRestore makes servers available again whose entries are only known from the backup,
+// once the entries would have expired without heartbeats.
+func (f *Fleet) reinstateAfterRestore(now time.Duration) {
+	for id, departure := range f.departed {
+		s, ok := f.servers[id]
+		if !departure.beforeRestore || !ok || s.missingRevision > 0 || f.platformDown || now < max(departure.at, f.platformUpAt)+missedHeartbeats*f.heartbeatInterval {
 			continue
 		}
-		if len(f.index.addresses[k.Address]) > 1 {
+		if len(f.index.byAddress[s.Address]) > 1 {
 			continue
 		}
-		delete(f.left, id)
-		k.Draining = false
+		delete(f.departed, id)
+		s.Draining = false
 	}
 }
--- a/internal/core/backends/histories_test.go
+++ b/internal/core/backends/histories_test.go
@@ -10,8 +10,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/history"
 )
 
-// in is a revision of a history.
-func in(number, revision uint64) history.Version {
+// versionOf returns the version for a revision of a history.
+func versionOf(number, revision uint64) history.Version {
 	version, err := history.At(number, revision)
 	if err != nil {
 		panic(err)
@@ -19,13 +19,13 @@
 	return version
 }
 
-// plainAt is a plain server whose entry was written at a version.
-func plainAt(id, address string, version history.Version) backends.Server {
+// plainServer returns a server of a plain service whose entry was written at a version.
+func plainServer(id, address string, version history.Version) backends.Server {
 	return backends.Server{ID: id, Service: "app", Address: address, DataCentre: "a", Slots: 4, Revision: version}
 }
 
-// ready lists the servers that may be used.
-func ready(f *backends.Fleet) []string {
+// readyIDs returns the IDs of the servers that may be used.
+func readyIDs(f *backends.Fleet) []string {
 	ids := []string{}
 	for _, server := range f.Servers("app") {
 		ids = append(ids, server.ID)
@@ -33,89 +33,89 @@
 	return ids
 }
 
-// Guards against: a server that had left is used again since the store's copy has its entry.
-func TestAServerThatLeftDoesNotReturnWithTheCopy(t *testing.T) {
+// Guards against using a departed server again because the restored platform has its entry.
+func TestDepartedServerStaysDepartedAfterARestore(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Signs(time.Second)
-	f.Replace(0, []backends.Server{plainAt("gone", "1:1", in(1, 3)), plainAt("cut", "2:1", in(1, 4)), plainAt("s1", "3:1", in(1, 5))}, in(1, 9))
-	f.Remove(0, "gone", in(1, 20))
-	f.Remove(0, "cut", in(1, 21))
-	g.Expect(ready(f)).To(Equal([]string{"s1"}))
+	f.Replace(0, []backends.Server{plainServer("gone", "1:1", versionOf(1, 3)), plainServer("cut", "2:1", versionOf(1, 4)), plainServer("s1", "3:1", versionOf(1, 5))}, versionOf(1, 9))
+	f.Remove(0, "gone", versionOf(1, 20))
+	f.Remove(0, "cut", versionOf(1, 21))
+	g.Expect(readyIDs(f)).To(Equal([]string{"s1"}))
 
-	copied := []backends.Server{plainAt("gone", "1:1", in(2, 3)), plainAt("cut", "2:1", in(2, 4)), plainAt("s1", "3:1", in(2, 5))}
-	f.Replace(time.Second, copied, in(2, 12))
-	g.Expect(ready(f)).To(Equal([]string{"s1"}))
-	f.Put(2*time.Second, plainAt("cut", "2:1", in(2, 15)))
-	g.Expect(ready(f)).To(Equal([]string{"cut", "s1"}), "it was written in the new history")
-	f.Remove(3*time.Second, "gone", in(2, 16))
+	copied := []backends.Server{plainServer("gone", "1:1", versionOf(2, 3)), plainServer("cut", "2:1", versionOf(2, 4)), plainServer("s1", "3:1", versionOf(2, 5))}
+	f.Replace(time.Second, copied, versionOf(2, 12))
+	g.Expect(readyIDs(f)).To(Equal([]string{"s1"}))
+	f.Put(2*time.Second, plainServer("cut", "2:1", versionOf(2, 15)))
+	g.Expect(readyIDs(f)).To(Equal([]string{"cut", "s1"}), "its entry was written in the new history")
+	f.Remove(3*time.Second, "gone", versionOf(2, 16))
 	f.Tidy(20 * time.Second)
-	g.Expect(ready(f)).To(Equal([]string{"cut", "s1"}))
+	g.Expect(readyIDs(f)).To(Equal([]string{"cut", "s1"}))
 }
 
-// Guards against: a server that only lost its way to the store is never used again.
-func TestAServerWhoseEntryStaysInTheCopyIsBackAfterItsSignsOfLife(t *testing.T) {
+// Guards against never using a server again that only lost its connection to the platform.
+func TestEntryThatOutlastsMissedHeartbeatsAfterARestoreIsReinstated(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Signs(time.Second)
-	f.Replace(0, []backends.Server{plainAt("s1", "1:1", in(1, 3))}, in(1, 9))
-	f.Remove(0, "s1", in(1, 20))
-	f.Replace(time.Second, []backends.Server{plainAt("s1", "1:1", in(2, 3))}, in(2, 12))
+	f.Replace(0, []backends.Server{plainServer("s1", "1:1", versionOf(1, 3))}, versionOf(1, 9))
+	f.Remove(0, "s1", versionOf(1, 20))
+	f.Replace(time.Second, []backends.Server{plainServer("s1", "1:1", versionOf(2, 3))}, versionOf(2, 12))
 	f.Tidy(4 * time.Second)
-	g.Expect(ready(f)).To(BeEmpty())
+	g.Expect(readyIDs(f)).To(BeEmpty())
 	f.Tidy(6 * time.Second)
-	g.Expect(ready(f)).To(Equal([]string{"s1"}))
+	g.Expect(readyIDs(f)).To(Equal([]string{"s1"}))
 }
 
-// Guards against: a server that said that it leaves is used since the copy has it as ready.
-func TestALeavingServerStaysLeavingInTheCopy(t *testing.T) {
+// Guards against using a server that announced its departure because the restored entry is ready.
+func TestLeavingServerStaysLeavingAfterARestore(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
-	leaving := plainAt("s1", "1:1", in(1, 20))
+	leaving := plainServer("s1", "1:1", versionOf(1, 20))
 	leaving.Draining = true
-	f.Replace(0, []backends.Server{plainAt("s1", "1:1", in(1, 3))}, in(1, 9))
+	f.Replace(0, []backends.Server{plainServer("s1", "1:1", versionOf(1, 3))}, versionOf(1, 9))
 	f.Put(0, leaving)
-	f.Replace(time.Second, []backends.Server{plainAt("s1", "1:1", in(2, 3))}, in(2, 12))
+	f.Replace(time.Second, []backends.Server{plainServer("s1", "1:1", versionOf(2, 3))}, versionOf(2, 12))
 	f.Tidy(time.Minute)
-	g.Expect(ready(f)).To(BeEmpty())
+	g.Expect(readyIDs(f)).To(BeEmpty())
 }
 
-// Guards against: servers that came after the copy was made are dropped at once.
-func TestAServerThatTheCopyLacksIsWaitedFor(t *testing.T) {
+// Guards against dropping servers at once that registered after the backup was made.
+func TestEntryMissingFromARestoreHasAGracePeriod(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
-	f.Replace(0, []backends.Server{plainAt("old", "1:1", in(1, 3)), plainAt("new", "2:1", in(1, 8)), plainAt("dead", "3:1", in(1, 8))}, in(1, 9))
-	f.Replace(time.Second, []backends.Server{plainAt("old", "1:1", in(2, 3))}, in(2, 5))
-	g.Expect(ready(f)).To(Equal([]string{"dead", "new", "old"}))
-	f.Put(2*time.Second, plainAt("new", "2:1", in(2, 6)))
-	f.Tidy(time.Second + backends.LapseGrace)
-	g.Expect(ready(f)).To(Equal([]string{"new", "old"}))
+	f.Replace(0, []backends.Server{plainServer("old", "1:1", versionOf(1, 3)), plainServer("new", "2:1", versionOf(1, 8)), plainServer("dead", "3:1", versionOf(1, 8))}, versionOf(1, 9))
+	f.Replace(time.Second, []backends.Server{plainServer("old", "1:1", versionOf(2, 3))}, versionOf(2, 5))
+	g.Expect(readyIDs(f)).To(Equal([]string{"dead", "new", "old"}))
+	f.Put(2*time.Second, plainServer("new", "2:1", versionOf(2, 6)))
+	f.Tidy(time.Second + backends.ExpiryGrace)
+	g.Expect(readyIDs(f)).To(Equal([]string{"new", "old"}))
 }
 
-// Guards against: the entry of a process that crashed ends its successor for good.
-func TestAFormerProcessInTheCopyDoesNotEndItsSuccessor(t *testing.T) {
+// Guards against the restored entry of a crashed process replacing its successor for good.
+func TestRestoredEntryDoesNotReplaceItsSuccessor(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
-	f.Replace(0, []backends.Server{plainAt("later", "1:1", in(1, 30))}, in(1, 40))
-	f.Replace(time.Second, []backends.Server{plainAt("former", "1:1", in(2, 10))}, in(2, 20))
-	g.Expect(ready(f)).To(Equal([]string{"later"}))
-	f.Put(2*time.Second, plainAt("later", "1:1", in(2, 21)))
-	f.Remove(3*time.Second, "former", in(2, 22))
+	f.Replace(0, []backends.Server{plainServer("later", "1:1", versionOf(1, 30))}, versionOf(1, 40))
+	f.Replace(time.Second, []backends.Server{plainServer("former", "1:1", versionOf(2, 10))}, versionOf(2, 20))
+	g.Expect(readyIDs(f)).To(Equal([]string{"later"}))
+	f.Put(2*time.Second, plainServer("later", "1:1", versionOf(2, 21)))
+	f.Remove(3*time.Second, "former", versionOf(2, 22))
 	f.Tidy(time.Minute)
-	g.Expect(ready(f)).To(Equal([]string{"later"}))
+	g.Expect(readyIDs(f)).To(Equal([]string{"later"}))
 }
 
-// Guards against: a VM's word of a departure in a former history is taken for old.
-func TestAWordOfAFormerHistoryHoldsAgainstTheCopy(t *testing.T) {
+// Guards against ignoring another VM's report of a departure in a former history as out of date.
+func TestDepartureFromFormerHistoryOverridesRestoredEntry(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Signs(time.Second)
-	f.Replace(0, []backends.Server{plainAt("s1", "1:1", in(1, 3)), plainAt("s2", "2:1", in(1, 4))}, in(1, 9))
-	f.Replace(time.Second, []backends.Server{plainAt("s1", "1:1", in(2, 3)), plainAt("s2", "2:1", in(2, 4))}, in(2, 7))
-	f.Put(time.Second, plainAt("s2", "2:1", in(2, 8)))
-	f.Leave(2*time.Second, backends.Departure{ID: "s1", Revision: in(1, 30)})
-	f.Leave(2*time.Second, backends.Departure{ID: "s2", Revision: in(1, 31)})
-	g.Expect(ready(f)).To(Equal([]string{"s2"}), "s2 was written after the copy")
+	f.Replace(0, []backends.Server{plainServer("s1", "1:1", versionOf(1, 3)), plainServer("s2", "2:1", versionOf(1, 4))}, versionOf(1, 9))
+	f.Replace(time.Second, []backends.Server{plainServer("s1", "1:1", versionOf(2, 3)), plainServer("s2", "2:1", versionOf(2, 4))}, versionOf(2, 7))
+	f.Put(time.Second, plainServer("s2", "2:1", versionOf(2, 8)))
+	f.Leave(2*time.Second, backends.Departure{ID: "s1", Revision: versionOf(1, 30)})
+	f.Leave(2*time.Second, backends.Departure{ID: "s2", Revision: versionOf(1, 31)})
+	g.Expect(readyIDs(f)).To(Equal([]string{"s2"}), "the entry of s2 was written after the restore")
 	f.Tidy(7 * time.Second)
-	g.Expect(ready(f)).To(Equal([]string{"s1", "s2"}))
+	g.Expect(readyIDs(f)).To(Equal([]string{"s1", "s2"}))
 }
--- a/internal/core/backends/index.go
+++ b/internal/core/backends/index.go
@@ -6,57 +6,56 @@
 	"slices"
 )
 
-// index finds servers by where they are and what they are called, and in order of ID.
+// index finds servers by address and by name, and keeps them ordered by ID.
 //
-// What it gains: with a look through all servers for each entry, the first list of thousands
-// takes a small VM more than a second, and with a sort for each request a path through them
-// takes milliseconds (BenchmarkReplace, BenchmarkPath).
+// Without it, searching all servers for each entry makes the first list of thousands take more than
+// a second on a small VM, and sorting them for each request makes a path through them take
+// milliseconds (BenchmarkReplace, BenchmarkPath).
 type index struct {
-	addresses, names map[string][]*known
-	// sorted are all servers in order of ID; nil after one came or went.
-	sorted []*known
+	byAddress, byName map[string][]*serverState
+	// sorted are all servers ordered by ID; nil after an addition or removal.
+	sorted []*serverState
 }
 
 func newIndex() index {
-	return index{addresses: make(map[string][]*known), names: make(map[string][]*known)}
+	return index{byAddress: make(map[string][]*serverState), byName: make(map[string][]*serverState)}
 }
 
-// add takes a server in.
-func (x *index) add(k *known) {
-	x.addresses[k.Address] = append(x.addresses[k.Address], k)
-	x.names[k.Name] = append(x.names[k.Name], k)
+func (x *index) add(s *serverState) {
+	x.byAddress[s.Address] = append(x.byAddress[s.Address], s)
+	x.byName[s.Name] = append(x.byName[s.Name], s)
 	x.sorted = nil
 }
 
-// remove takes a server out, which must be as it was when it was added.
-func (x *index) remove(k *known) {
-	removeFrom(x.addresses, k.Address, k)
-	removeFrom(x.names, k.Name, k)
+// remove deletes a server. Its address and name must be the same as when it was added.
+func (x *index) remove(s *serverState) {
+	removeFrom(x.byAddress, s.Address, s)
+	removeFrom(x.byName, s.Name, s)
 	x.sorted = nil
 }
 
-func removeFrom(lists map[string][]*known, key string, k *known) {
-	left := slices.DeleteFunc(lists[key], func(other *known) bool { return other == k })
-	if len(left) == 0 {
+func removeFrom(lists map[string][]*serverState, key string, s *serverState) {
+	rest := slices.DeleteFunc(lists[key], func(other *serverState) bool { return other == s })
+	if len(rest) == 0 {
 		delete(lists, key)
 		return
 	}
-	lists[key] = left
+	lists[key] = rest
 }
 
-// near lists the servers at an address or under a name, in order of ID.
-func (x *index) near(address, name string) []*known {
-	found := slices.Concat(x.addresses[address], x.names[name])
-	slices.SortFunc(found, byID)
+// atAddressOrName returns the servers at an address or under a name, ordered by ID.
+func (x *index) atAddressOrName(address, name string) []*serverState {
+	found := slices.Concat(x.byAddress[address], x.byName[name])
+	slices.SortFunc(found, compareByID)
 	return slices.Compact(found)
 }
 
-// inOrder lists all servers in order of ID.
-func (x *index) inOrder(all map[string]*known) []*known {
+// sortedByID returns all servers ordered by ID.
+func (x *index) sortedByID(all map[string]*serverState) []*serverState {
 	if x.sorted == nil {
-		x.sorted = slices.SortedFunc(maps.Values(all), byID)
+		x.sorted = slices.SortedFunc(maps.Values(all), compareByID)
 	}
 	return x.sorted
 }
 
-func byID(a, b *known) int { return cmp.Compare(a.ID, b.ID) }
+func compareByID(a, b *serverState) int { return cmp.Compare(a.ID, b.ID) }
--- a/internal/core/backends/instance_test.go
+++ b/internal/core/backends/instance_test.go
@@ -11,10 +11,10 @@
 	"oleandershunt.example/oleandershunt/internal/core/backends"
 )
 
-// Symptom: one server of a plain service has a queue while the others of its data centre idle.
-// Sequence: 30 VMs send it a request now and then. Cause: a VM that has no request running
-// finds all of them idle, and takes the first one in order, as all others do.
-func TestManyVMsShareAPlainServicesServers(t *testing.T) {
+// Guards against one server of a plain service having a queue while the others of its data centre
+// are idle: 30 VMs send occasional requests, and each VM without running requests sees all servers
+// as idle and takes the first one.
+func TestManyVMsBalanceAPlainService(t *testing.T) {
 	g := NewWithT(t)
 	const vms, servers, stay = 30, 3, 60 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
@@ -44,6 +44,6 @@
 	}
 	t.Logf("%v", sent)
 	for id, n := range sent {
-		g.Expect(n).To(BeNumerically("<", 900), "%s has more than its share of 2,000", id)
+		g.Expect(n).To(BeNumerically("<", 900), "%s got more than its share of 2,000", id)
 	}
 }
--- a/internal/core/backends/limits.go
+++ b/internal/core/backends/limits.go
@@ -9,12 +9,11 @@
 	"oleandershunt.example/oleandershunt/internal/core/routes"
 )
 
-// LimitError says that a request could only be sent to servers that this VM may not send
-// another one yet, by the request rates that they set.
+// LimitError is returned if all suitable servers are at their request rate limits for this VM.
 type LimitError struct {
 	Service string
-	// Wait is in what time the next request may be sent, and PerSecond how many a second
-	// this VM may send. Where that is 0 other VMs may.
+	// Wait is the time until the next request may be sent, and PerSecond the number of requests a
+	// second that this VM may send. If that is 0, only other VMs may send.
 	Wait      time.Duration
 	PerSecond float64
 }
@@ -32,60 +31,63 @@
 	return e.Wait + time.Duration(float64(ahead)/e.PerSecond*float64(time.Second)), true
 }
 
-// before tells whether this VM may send a request sooner than a pause ends.
-func (e *LimitError) before(paused *PauseError) bool { return e.PerSecond > 0 && e.Wait <= paused.Wait }
+// endsBefore reports whether this VM may send a request before a pause ends.
+func (e *LimitError) endsBefore(paused *PauseError) bool {
+	return e.PerSecond > 0 && e.Wait <= paused.Wait
+}
 
-// SaidRate takes the rate that a server set in its answer to a request that was sent at a
-// moment. It returns whether that is news.
+// SaidRate records the rate limit that a server set in its answer to a request sent at the given
+// time. It reports whether that is new.
 func (f *Fleet) SaidRate(now, sent time.Duration, id string, perSecond float64) bool {
-	k, ok := f.servers[id]
-	return ok && f.limits.Said(now, sent, id, k.DataCentre, perSecond)
+	s, ok := f.servers[id]
+	return ok && f.rateLimits.Said(now, sent, id, s.DataCentre, perSecond)
 }
 
-// HeardRates takes other VMs' words on servers' rates.
-func (f *Fleet) HeardRates(now time.Duration, words map[string]ratelimit.Word) {
-	for id, word := range words {
-		if k, ok := f.servers[id]; ok {
-			f.limits.Heard(now, id, k.DataCentre, word)
+// HeardRates records the rate limits of servers that other VMs reported.
+func (f *Fleet) HeardRates(now time.Duration, limits map[string]ratelimit.Word) {
+	for id, limit := range limits {
+		if s, ok := f.servers[id]; ok {
+			f.rateLimits.Heard(now, id, s.DataCentre, limit)
 		}
 	}
 }
 
-// Rates are the words on servers' rates that other VMs are to be told.
-func (f *Fleet) Rates(now time.Duration) map[string]ratelimit.Word { return f.limits.Words(now) }
+// Rates returns the rate limits to be published to the other VMs.
+func (f *Fleet) Rates(now time.Duration) map[string]ratelimit.Word { return f.rateLimits.Words(now) }
 
-// Members takes this VM and all that live, which share the rates.
+// Members sets this VM and all live VMs, which share the rate limits.
 func (f *Fleet) Members(now time.Duration, self string, vms []lease.VM) {
-	f.limits.Live(now, self, vms)
+	f.rateLimits.Live(now, self, vms)
 }
 
-// Limited tells whether a server sets a rate.
-func (f *Fleet) Limited(id string) bool { return f.limits.Word(id).Limited() }
+// Limited reports whether a server sets a rate limit.
+func (f *Fleet) Limited(id string) bool { return f.rateLimits.Word(id).Limited() }
 
 // Sent counts a request that is sent to the servers of a choice.
 func (f *Fleet) Sent(now time.Duration, choice Choice) {
-	f.limits.Sent(now, choice.First.ID)
-	for id := range choice.servers() {
+	f.rateLimits.Sent(now, choice.First.ID)
+	for id := range choice.serverIDs() {
 		f.pauses.Sent(now, id)
 	}
 }
 
-// mayBegin tells whether a server may get a request by its rate.
-func (f *Fleet) mayBegin(now time.Duration, id string, request Request) bool {
-	return request.anyRate || f.limits.Allows(now, id)
+// withinRateLimit reports whether a server's rate limit allows a request now.
+func (f *Fleet) withinRateLimit(now time.Duration, id string, request Request) bool {
+	return request.ignoreRateLimits || f.rateLimits.Allows(now, id)
 }
 
-// limited returns why a request can't be sent now that could be without limits, or nil.
-func (f *Fleet) limited(now time.Duration, service routes.Service, request Request) *LimitError {
-	if !f.possible(now, service, request) {
+// limitError returns the error for a request that only rate limits prevent from being sent now, or
+// nil.
+func (f *Fleet) limitError(now time.Duration, service routes.Service, request Request) *LimitError {
+	if !f.isFeasible(now, service, request) {
 		return nil
 	}
 	err := &LimitError{Service: service.Name}
-	for id, k := range f.servers {
-		if k.Service != service.Name || !k.begins(service.Engine) || !f.mayTake(now, k, request) {
+	for id, s := range f.servers {
+		if s.Service != service.Name || !s.canBeFirst(service.Engine) || !f.isEligible(now, s, request) {
 			continue
 		}
-		wait, share := f.limits.Next(now, id)
+		wait, share := f.rateLimits.Next(now, id)
 		if share > 0 && (err.PerSecond == 0 || wait < err.Wait) {
 			err.Wait = wait
 		}
@@ -94,13 +96,13 @@
 	return err
 }
 
-// begins tells whether requests can be sent to a server: it holds the first layers, or its
-// service has none.
-func (k *known) begins(engine *routes.Engine) bool {
+// canBeFirst reports whether requests can be sent to a server: it holds the first layers, or its
+// service has no layers.
+func (s *serverState) canBeFirst(engine *routes.Engine) bool {
 	if engine == nil {
 		return true
 	}
-	for _, held := range k.Holds {
+	for _, held := range s.Holds {
 		if held.Layers.From == 0 && held.Layers.Len() > 0 {
 			return true
 		}
--- a/internal/core/backends/limits_test.go
+++ b/internal/core/backends/limits_test.go
@@ -12,8 +12,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/ratelimit"
 )
 
-// limitedFleet is a VM alone before two paths, the first server of the faster one of which
-// takes a request a second.
+// limitedFleet is the view of a single VM with two paths. The first server of the faster one
+// accepts one request a second.
 func limitedFleet(g *WithT) *backends.Fleet {
 	f := backends.New()
 	f.Replace(0, []backends.Server{
@@ -24,23 +24,23 @@
 	return f
 }
 
-// Guards against: requests begin at a server beyond its rate though others hold its layers.
-func TestARequestBeginsElsewhereWhileAServersRateIsUsed(t *testing.T) {
+// Guards against exceeding a server's rate limit while other servers hold its layers.
+func TestRequestStartsElsewhereWhileAServerIsAtItsRateLimit(t *testing.T) {
 	g := NewWithT(t)
 	f := limitedFleet(g)
 	g.Expect(path(g, f, request())).To(Equal("s3[0,40) s2[40,80)"))
 	now := 2 * time.Second
 	choice, err := f.Path(now, service(), request())
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(choice.First.ID).To(Equal("s1"), "its next request is due")
+	g.Expect(choice.First.ID).To(Equal("s1"), "the rate limit allows the next request")
 	f.Sent(now, choice)
 	choice, err = f.Path(now, service(), request())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.First.ID).To(Equal("s3"))
 }
 
-// Guards against: a request that must wait for a server's rate is told nothing of when.
-func TestARequestIsToldWhenAServersRateAllowsIt(t *testing.T) {
+// Guards against a request at a rate limit not learning when it may be sent.
+func TestLimitErrorSaysWhenToRetry(t *testing.T) {
 	g := NewWithT(t)
 	f := limitedFleet(g)
 	f.Remove(0, "s3", 9)
@@ -58,11 +58,12 @@
 	}
 	f.Remove(0, "s2", 10)
 	_, err := f.Path(0, service(), request())
-	g.Expect(err).To(MatchError(backends.ErrNoServer), "no rate is why layers are missing")
+	g.Expect(err).To(MatchError(backends.ErrNoServer), "layers are missing regardless of the rate limit")
 }
 
-// Guards against: a plain service's server gets more than its rate, or requests wait for none.
-func TestAPlainServersRateIsKept(t *testing.T) {
+// Guards against exceeding the rate limit of a plain service's server, and against waiting for a
+// limit whose share belongs to other VMs.
+func TestPlainServerRateLimitIsObeyed(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	plain := backends.Server{ID: "p1", Service: "app", Address: "p1:1", DataCentre: "a", Slots: 4}
@@ -78,5 +79,5 @@
 	_, err = f.Instance(2*time.Second, "app", request())
 	g.Expect(errors.As(err, &limited)).To(BeTrue(), "%v", err)
 	_, known := limited.Due(0)
-	g.Expect(known).To(BeFalse(), "other VMs have the rate")
+	g.Expect(known).To(BeFalse(), "other VMs have the whole rate")
 }
--- a/internal/core/backends/pauses.go
+++ b/internal/core/backends/pauses.go
@@ -8,19 +8,19 @@
 	"oleandershunt.example/oleandershunt/internal/core/routes"
 )
 
-// Deferral says that a request could only be sent to servers that want none of this VM yet.
+// Deferral is an error for a request whose suitable servers accept no more requests of this VM for
+// now.
 type Deferral interface {
 	error
-	// Due is in what time a request may be sent that comes after so many others. False where
+	// Due returns the time until a request with so many others ahead of it may be sent, or false if
 	// that isn't known.
 	Due(ahead int) (time.Duration, bool)
 }
 
-// PauseError says that a request could only be sent to servers that want none of this VM for
-// a time, by their own word.
+// PauseError is returned if all suitable servers asked this VM for a pause.
 type PauseError struct {
 	Service string
-	// Wait is in what time enough of them may get requests again.
+	// Wait is the time until enough of them accept requests again.
 	Wait time.Duration
 }
 
@@ -34,53 +34,53 @@
 // Due implements Deferral.
 func (e *PauseError) Due(int) (time.Duration, bool) { return e.Wait, true }
 
-// Pause takes a server's word that it wants no requests of this VM for a span. It returns
-// whether that is news. Other VMs are told that it is full, and no longer than of any full
-// server: the pause was asked of this VM only.
+// Pause records that a server asked this VM to send no requests for a span, and reports whether
+// that is new. Other VMs learn that the server is full, for no longer than any full server, since
+// the pause was asked of this VM only.
 func (f *Fleet) Pause(now time.Duration, id string, span time.Duration) bool {
-	if k, ok := f.servers[id]; ok {
-		k.fullSpan = min(span, fullMost)
-		k.fullUntil = max(k.fullUntil, now+k.fullSpan)
+	if s, ok := f.servers[id]; ok {
+		s.fullBackoff = min(span, maxFullBackoff)
+		s.fullUntil = max(s.fullUntil, now+s.fullBackoff)
 	}
 	return f.pauses.Ask(now, id, span)
 }
 
-// Paused tells whether a server wants no requests of this VM now.
+// Paused reports whether a server currently wants no requests from this VM.
 func (f *Fleet) Paused(now time.Duration, id string) bool { return f.pauses.Active(now, id) }
 
-// Wanted tells whether the servers of a choice still want a request: none has left since, or
+// Wanted reports whether all servers of a choice still accept a request: none has left since or
 // asked for a pause.
 func (f *Fleet) Wanted(now time.Duration, choice Choice) bool {
-	for id := range choice.servers() {
-		if k, ok := f.servers[id]; !ok || k.Draining || f.pauses.Active(now, id) {
+	for id := range choice.serverIDs() {
+		if s, ok := f.servers[id]; !ok || s.Draining || f.pauses.Active(now, id) {
 			return false
 		}
 	}
 	return true
 }
 
-// Took says that the servers of a choice run a request that was sent to them at a moment.
+// Took records that the servers of a choice accepted a request sent at the given time.
 func (f *Fleet) Took(now, sent time.Duration, choice Choice) {
-	for id := range choice.servers() {
+	for id := range choice.serverIDs() {
 		f.pauses.Took(now, sent, id)
 	}
 }
 
-// pausedNow tells whether a server is to get nothing of this VM yet.
-func (f *Fleet) pausedNow(now time.Duration, id string, request Request) bool {
-	return f.pauses.Until(id) > max(now, request.pausesAt)
+// isPaused reports whether a server must not get requests of this VM yet.
+func (f *Fleet) isPaused(now time.Duration, id string, request Request) bool {
+	return f.pauses.Until(id) > max(now, request.pausesAsOf)
 }
 
-// paused returns why a request can't be sent now that could be without pauses, or nil.
-func (f *Fleet) paused(now time.Duration, service routes.Service, request Request) *PauseError {
+// pauseError returns the error for a request that only pauses prevent from being sent now, or nil.
+func (f *Fleet) pauseError(now time.Duration, service routes.Service, request Request) *PauseError {
 	ends := f.pauses.Ends(now, func(id string) bool {
-		k, ok := f.servers[id]
-		return ok && k.Service == service.Name
+		s, ok := f.servers[id]
+		return ok && s.Service == service.Name
 	})
 	first := sort.Search(len(ends), func(i int) bool {
 		at := request
-		at.pausesAt = ends[i]
-		return f.possible(now, service, at)
+		at.pausesAsOf = ends[i]
+		return f.isFeasible(now, service, at)
 	})
 	if first == len(ends) {
 		return nil
@@ -88,20 +88,20 @@
 	return &PauseError{Service: service.Name, Wait: ends[first] - now}
 }
 
-// possible tells whether a request could be sent if no server were full or at its rate.
-func (f *Fleet) possible(now time.Duration, service routes.Service, request Request) bool {
-	request.Force, request.anyRate = true, true
+// isFeasible reports whether a request could be sent if no server were full or at its rate limit.
+func (f *Fleet) isFeasible(now time.Duration, service routes.Service, request Request) bool {
+	request.Force, request.ignoreRateLimits = true, true
 	if service.Engine == nil {
-		return f.instance(now, service.Name, request) != nil
+		return f.leastLoaded(now, service.Name, request) != nil
 	}
-	_, ok := f.choose(now, service, request)
+	_, ok := f.choosePath(now, service, request)
 	return ok
 }
 
-// deferred returns why a request can't be sent now that could be later, or nil.
-func (f *Fleet) deferred(now time.Duration, service routes.Service, request Request) error {
-	limited, paused := f.limited(now, service, request), f.paused(now, service, request)
-	if limited != nil && (paused == nil || limited.before(paused)) {
+// deferral returns the error for a request that can't be sent now but can be later, or nil.
+func (f *Fleet) deferral(now time.Duration, service routes.Service, request Request) error {
+	limited, paused := f.limitError(now, service, request), f.pauseError(now, service, request)
+	if limited != nil && (paused == nil || limited.endsBefore(paused)) {
 		return limited
 	}
 	if paused != nil {
--- a/internal/core/backends/pauses_test.go
+++ b/internal/core/backends/pauses_test.go
@@ -13,8 +13,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/lease"
 )
 
-// twoLanes is a VM before two paths, the first of which is the faster one.
-func twoLanes() *backends.Fleet {
+// twoPaths is the view of a VM with two paths, of which the first is the faster one.
+func twoPaths() *backends.Fleet {
 	f := backends.New()
 	f.Replace(0, []backends.Server{
 		server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 40, 80), server("s3", "a", "slow", 0, 40), server("s4", "a", "slow", 40, 80),
@@ -22,12 +22,12 @@
 	return f
 }
 
-// Guards against: a kind of attempt takes a server in its pause.
-func TestNoKindOfAttemptTakesAServerInItsPause(t *testing.T) {
+// Guards against any kind of attempt using a paused server.
+func TestPausedServerIsAvoidedByEveryKindOfAttempt(t *testing.T) {
 	kinds := map[string]func(*backends.Request){
-		"first":        func(*backends.Request) {},
-		"without room": func(r *backends.Request) { r.Force = true },
-		"repeat":       func(r *backends.Request) { r.Only = []string{"s1", "s2", "s3", "s4"} },
+		"first":            func(*backends.Request) {},
+		"without capacity": func(r *backends.Request) { r.Force = true },
+		"repeat":           func(r *backends.Request) { r.Only = []string{"s1", "s2", "s3", "s4"} },
 		"move": func(r *backends.Request) {
 			r.Keep = &chain.Part{ID: "s3", Layers: api.Layers{From: 0, To: 40}}
 			r.Force = true
@@ -35,21 +35,22 @@
 		"of its version": func(r *backends.Request) { r.Version = 1 },
 	}
 	for kind, change := range kinds {
-		for _, resting := range []string{"s1", "s2"} {
+		for _, paused := range []string{"s1", "s2"} {
 			g := NewWithT(t)
-			f := twoLanes()
-			f.Pause(0, resting, time.Second)
+			f := twoPaths()
+			f.Pause(0, paused, time.Second)
 			r := request()
 			change(&r)
-			g.Expect(path(g, f, r)).NotTo(ContainSubstring(resting+"["), kind)
+			g.Expect(path(g, f, r)).NotTo(ContainSubstring(paused+"["), kind)
 		}
 	}
 }
 
-// Guards against: a request whose servers all rest isn't told when one doesn't any more.
-func TestARequestIsToldWhenThePausesOfAWholePathEnd(t *testing.T) {
+// Guards against a request not learning when a path is available again if all its servers are
+// paused.
+func TestPauseErrorWaitsForAWholePath(t *testing.T) {
 	g := NewWithT(t)
-	f := twoLanes()
+	f := twoPaths()
 	f.Pause(0, "s1", 3*time.Second)
 	f.Pause(0, "s2", time.Second)
 	f.Pause(0, "s3", 2*time.Second)
@@ -59,7 +60,7 @@
 		_, err := f.Path(500*time.Millisecond, service(), r)
 		paused := new(backends.PauseError)
 		g.Expect(errors.As(err, &paused)).To(BeTrue(), "%v", err)
-		g.Expect(paused.Wait).To(Equal(1500*time.Millisecond), "s3 and s2 make a path then")
+		g.Expect(paused.Wait).To(Equal(1500*time.Millisecond), "s3 and s2 form a path then")
 		r.Only = []string{"s1", "s2"}
 		_, err = f.Path(500*time.Millisecond, service(), r)
 		g.Expect(errors.As(err, &paused)).To(BeTrue(), "%v", err)
@@ -68,14 +69,14 @@
 	f.Remove(0, "s1", 9)
 	f.Remove(0, "s3", 10)
 	_, err := f.Path(500*time.Millisecond, service(), request())
-	g.Expect(err).To(MatchError(backends.ErrNoServer), "no pause is why layers are missing")
+	g.Expect(err).To(MatchError(backends.ErrNoServer), "layers are missing regardless of pauses")
 }
 
-// Guards against: a request waits for a request rate though a pause ends sooner, or the reverse.
-func TestARequestIsToldOfTheSoonerOfARateAndAPause(t *testing.T) {
+// Guards against waiting for a rate limit although a pause ends sooner, or the reverse.
+func TestDeferralIsTheEarlierOfRateLimitAndPause(t *testing.T) {
 	for pause, want := range map[time.Duration]time.Duration{500 * time.Millisecond: 500 * time.Millisecond, 3 * time.Second: 1111 * time.Millisecond} {
 		g := NewWithT(t)
-		f := twoLanes()
+		f := twoPaths()
 		f.Members(0, "vm-1", []lease.VM{{Name: "vm-1", DataCentre: "a"}})
 		f.SaidRate(0, 0, "s1", 1)
 		f.Pause(0, "s3", pause)
@@ -88,8 +89,9 @@
 	}
 }
 
-// Guards against: a server's pause is lost with its entry, or outlasts the process that asked for it.
-func TestAPauseIsOfOneProcessOfAServer(t *testing.T) {
+// Guards against losing a server's pause with its entry, and against the pause outlasting the
+// process that asked for it.
+func TestPauseBelongsToOneProcess(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	plain := backends.Server{ID: "p1@1", Name: "p1", Service: "app", Address: "p1:1", DataCentre: "a", Slots: 4, Revision: 1}
@@ -108,8 +110,8 @@
 	g.Expect(choice.First.ID).To(Equal("p1@2"))
 }
 
-// Guards against: all that waited for a plain server's pause come at once.
-func TestAPlainServerIsTriedByOneRequestAfterItsPause(t *testing.T) {
+// Guards against all requests that waited for a plain server's pause being sent at once.
+func TestPlainServerGetsOneTrialRequestAfterItsPause(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Put(0, backends.Server{ID: "p1", Service: "app", Address: "p1:1", DataCentre: "a", Slots: 4})
@@ -124,8 +126,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// Guards against: a path is taken of which a server left, or asked for a pause, just before.
-func TestAChoiceIsWantedWhileAllItsServersWantRequests(t *testing.T) {
+// Guards against using a path after one of its servers left or asked for a pause.
+func TestChoiceIsUsableWhileAllItsServersAcceptRequests(t *testing.T) {
 	for name, change := range map[string]func(f *backends.Fleet, id string){
 		"pause":   func(f *backends.Fleet, id string) { f.Pause(0, id, time.Second) },
 		"leaving": func(f *backends.Fleet, id string) { f.SaysLeaving(0, id) },
@@ -133,7 +135,7 @@
 	} {
 		for _, id := range []string{"s1", "s2"} {
 			g := NewWithT(t)
-			f := twoLanes()
+			f := twoPaths()
 			choice, err := f.Path(0, service(), request())
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(f.Wanted(0, choice)).To(BeTrue())
--- a/internal/core/backends/lives_test.go
+++ b/internal/core/backends/restarts_test.go
@@ -10,21 +10,21 @@
 	"oleandershunt.example/oleandershunt/internal/core/history"
 )
 
-// life is a life of the server s1, started at a moment, that holds the first layers.
-func life(started string, revision history.Version) backends.Server {
+// s1Process is the process of server s1 that started at the given time. It holds the first layers.
+func s1Process(started string, revision history.Version) backends.Server {
 	s := server("s1@"+started, "a", "fast", 0, 40)
 	s.Name, s.Address, s.Revision = "s1", "s1:1", revision
 	return s
 }
 
-// Symptom: a server that is empty and well gets no request for seconds, or too many.
-// Sequence: it starts again under its name; what ran on it before ends; other VMs still
-// tell of its former life. Cause: what is known of it is kept by its name.
-func TestWhatIsKnownOfAServerEndsWithItsLife(t *testing.T) {
+// Guards against an idle, healthy server getting no requests for seconds, or too many, after a
+// restart under the same name: requests of the former process still end, and other VMs still report
+// its state.
+func TestServerStateEndsWithItsProcess(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Put(0, server("s2", "a", "fast", 40, 80))
-	f.Put(0, life("1", 1))
+	f.Put(0, s1Process("1", 1))
 	before, err := f.Path(0, service(), request())
 	g.Expect(err).NotTo(HaveOccurred())
 	load := before.Load(1000)
@@ -34,7 +34,7 @@
 	f.Paced(0, "s1@1", 9)
 	f.Full(0, "s1@1")
 
-	f.Put(time.Second, life("2", 2))
+	f.Put(time.Second, s1Process("2", 2))
 	choice, err := f.Path(time.Second, service(), request())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.First.ID).To(Equal("s1@2"))
@@ -50,19 +50,18 @@
 	f.End(load)
 	f.Leave(time.Second, backends.Departure{ID: "s1@1"})
 	f.Suspect(time.Second, "s1@1", time.Minute)
-	g.Expect(f.Used(service().Engine, "s1@2")).To(Equal(used), "the former life's load")
+	g.Expect(f.Used(service().Engine, "s1@2")).To(Equal(used), "the load of the former process isn't counted")
 	g.Expect(f.Servers("llm")).To(HaveLen(2))
 
-	f.Put(2*time.Second, life("1", 1))
-	g.Expect(f.Servers("llm")[0].ID).To(Equal("s1@2"), "a late word of the former life")
+	f.Put(2*time.Second, s1Process("1", 1))
+	g.Expect(f.Servers("llm")[0].ID).To(Equal("s1@2"), "a late entry of the former process")
 	f.Remove(2*time.Second, "s1", 3)
-	g.Expect(f.Servers("llm")).To(HaveLen(1), "the entry stands for whatever life it had")
+	g.Expect(f.Servers("llm")).To(HaveLen(1), "the removed entry stands for every process of the server")
 }
 
-// Symptom: a server that is well gets no request any more. Sequence: another program
-// writes an entry with its address, for a service that nobody has. Cause: the newer of
-// two entries at an address ends the older one.
-func TestAnEntryOfAnUnknownServiceEndsNoOther(t *testing.T) {
+// Guards against a healthy server getting no requests after another program writes a newer entry
+// with its address, for a service that isn't configured.
+func TestEntryOfAnUnknownServiceReplacesNoServer(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Put(0, server("s2", "a", "fast", 40, 80))
@@ -74,12 +73,12 @@
 	g.Expect(f.Servers("llm")).To(HaveLen(2))
 	other.ID, other.Name, other.Service = "y", "y", "app"
 	f.Put(0, other)
-	g.Expect(f.Servers("llm")).To(HaveLen(1), "an address is used again by another service")
+	g.Expect(f.Servers("llm")).To(HaveLen(1), "another configured service reuses the address")
 }
 
-// Symptom: all requests go to one server and fail. Sequence: an entry names a kind of
-// accelerator that the configuration doesn't describe. Cause: its pace counts as 0.
-func TestAServerOfAnUnknownKindRunsNoLayers(t *testing.T) {
+// Guards against all requests going to one server and failing: its entry names a kind of
+// accelerator that isn't configured, and the pace of that kind counts as 0.
+func TestServerWithUnknownCardIsNotUsed(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
 	f.Put(0, server("s2", "a", "fast", 40, 80))
--- a/internal/core/backends/slots_test.go
+++ b/internal/core/backends/slots_test.go
@@ -10,21 +10,21 @@
 	"oleandershunt.example/oleandershunt/internal/core/backends"
 )
 
-// queues are the first servers of the paths of one data centre and what waits at them. VMs
-// tell one another four times a second what runs where. Time goes on in steps of 10 ms.
-type queues struct {
+// queueSimulation simulates the first servers of the paths of one data centre and their queues. VMs
+// publish their loads four times a second. Time advances in steps of 10 ms.
+type queueSimulation struct {
 	g      *WithT
 	fleets []*backends.Fleet
 	slots  int
-	// running and waiting are the requests at each first server, in order.
+	// running counts the requests at each first server; waiting are those in its queue, in order.
 	running map[string]int
 	waiting map[string][]func(now time.Duration)
 	ends    map[time.Duration][]func()
-	// stays is how long a request takes once it has a slot.
-	stays func(now time.Duration) time.Duration
-	// begun counts the requests by the second in which they came, and late those that
-	// waited for a slot for more than the target.
-	begun, late map[int]int
+	// duration is how long a request takes once it has a slot.
+	duration func(now time.Duration) time.Duration
+	// started counts the requests by the second in which they arrived, and late those that waited
+	// for a slot for longer than the target.
+	started, late map[int]int
 }
 
 const (
@@ -32,17 +32,17 @@
 	queueTarget = 500 * time.Millisecond
 )
 
-func newQueues(g *WithT, vms, slots int) *queues {
-	q := &queues{
+func newQueueSimulation(g *WithT, vms, slots int) *queueSimulation {
+	q := &queueSimulation{
 		g: g, slots: slots, running: make(map[string]int), waiting: make(map[string][]func(time.Duration)),
-		ends: make(map[time.Duration][]func()), begun: make(map[int]int), late: make(map[int]int),
+		ends: make(map[time.Duration][]func()), started: make(map[int]int), late: make(map[int]int),
 	}
 	for range vms {
 		f := backends.New()
-		// Three copies of the layers: a fast one, and two slow ones.
-		for lane, card := range []string{"fast", "slow", "slow"} {
+		// Three copies of the layers: a fast one and two slow ones.
+		for replica, card := range []string{"fast", "slow", "slow"} {
 			for part := range 4 {
-				s := server(fmt.Sprintf("s%d%d", lane, part), "a", card, part*20, part*20+20)
+				s := server(fmt.Sprintf("s%d%d", replica, part), "a", card, part*20, part*20+20)
 				s.Slots = slots
 				f.Put(0, s)
 			}
@@ -52,47 +52,47 @@
 	return q
 }
 
-func (q *queues) play(perSecond float64, span time.Duration) {
+func (q *queueSimulation) run(perSecond float64, span time.Duration) {
 	due, next := 0.0, 0
 	for now := queueStep; now <= span; now += queueStep {
 		for _, end := range q.ends[now] {
 			end()
 		}
 		if now%(250*time.Millisecond) == 0 {
-			q.tell()
+			q.publish()
 		}
 		for due += perSecond * queueStep.Seconds(); due >= 1; due-- {
-			q.begin(now, q.fleets[next%len(q.fleets)])
+			q.startRequest(now, q.fleets[next%len(q.fleets)])
 			next++
 		}
 	}
 }
 
-// tell has all VMs hear what the others have.
-func (q *queues) tell() {
-	told := make([]map[string]backends.Usage, len(q.fleets))
+// publish lets all VMs publish their loads and read those of the others.
+func (q *queueSimulation) publish() {
+	published := make([]map[string]backends.Usage, len(q.fleets))
 	for i, f := range q.fleets {
-		told[i] = f.Loads()
+		published[i] = f.Loads()
 	}
 	for i, f := range q.fleets {
-		f.Heard(sumOf(told, i), len(q.fleets)-1)
+		f.Heard(sumExcept(published, i), len(q.fleets)-1)
 	}
 }
 
-func (q *queues) begin(now time.Duration, f *backends.Fleet) {
+func (q *queueSimulation) startRequest(now time.Duration, f *backends.Fleet) {
 	r := request()
 	choice, err := f.Path(now, service(), r)
 	q.g.Expect(err).NotTo(HaveOccurred())
 	load := choice.Load(r.Prompt + r.Answer)
 	f.Begin(load)
 	first, second := choice.First.ID, int(now/time.Second)
-	q.begun[second]++
+	q.started[second]++
 	run := func(at time.Duration) {
 		q.running[first]++
 		if at-now > queueTarget {
 			q.late[second]++
 		}
-		end := at + q.stays(at)
+		end := at + q.duration(at)
 		q.ends[end] = append(q.ends[end], func() {
 			f.End(load)
 			q.running[first]--
@@ -110,43 +110,41 @@
 	q.waiting[first] = append(q.waiting[first], run)
 }
 
-// lateIn is the part of the requests of some seconds that waited for too long.
-func (q *queues) lateIn(from, to int) float64 {
-	begun, late := 0, 0
+// lateFraction is the fraction of the requests of the seconds from..to that waited for too long.
+func (q *queueSimulation) lateFraction(from, to int) float64 {
+	started, late := 0, 0
 	for second := from; second < to; second++ {
-		begun, late = begun+q.begun[second], late+q.late[second]
+		started, late = started+q.started[second], late+q.late[second]
 	}
-	return float64(late) / float64(max(begun, 1))
+	return float64(late) / float64(max(started, 1))
 }
 
-// Symptom: all answers of a data centre have late first events, for as long as requests come,
-// though the fault that began it is long over. Sequence: servers are slow for four seconds;
-// more requests run at once meanwhile than the first server of the fastest path has slots; it
-// has memory for more. Cause: memory alone decided, and requests went on to a server whose
-// queue could not get shorter at that rate, beside two others with the first layers.
-func TestAFirstServerWithoutSlotsComesBackUnder(t *testing.T) {
+// Guards against late first events that persist after their cause is over: servers are slow for
+// four seconds, and more requests run at once than the first server of the fastest path has slots,
+// though it has memory for them. If memory alone decides, requests go on to a server whose queue
+// can't get shorter at that rate, beside two others with the first layers.
+func TestFirstServerQueueDrainsAfterASlowdown(t *testing.T) {
 	g := NewWithT(t)
-	q := newQueues(g, 30, 48)
-	q.stays = func(now time.Duration) time.Duration {
+	q := newQueueSimulation(g, 30, 48)
+	q.duration = func(now time.Duration) time.Duration {
 		if now > 8*time.Second && now < 12*time.Second {
 			return 6 * time.Second
 		}
 		return 3 * time.Second
 	}
-	q.play(15.5, 24*time.Second)
-	t.Logf("late before the slow spell %.2f, in it %.2f, in the last six seconds %.2f", q.lateIn(2, 8), q.lateIn(8, 12), q.lateIn(18, 24))
-	g.Expect(q.lateIn(2, 8)).To(BeNumerically("<", 0.01))
-	g.Expect(q.lateIn(8, 24)).To(BeNumerically("<", 0.02))
+	q.run(15.5, 24*time.Second)
+	t.Logf("late before the slowdown %.2f, during it %.2f, in the last six seconds %.2f", q.lateFraction(2, 8), q.lateFraction(8, 12), q.lateFraction(18, 24))
+	g.Expect(q.lateFraction(2, 8)).To(BeNumerically("<", 0.01))
+	g.Expect(q.lateFraction(8, 24)).To(BeNumerically("<", 0.02))
 }
 
-// Symptom: first events are late in each burst. Sequence: more requests come in the time of a
-// stream than one first server has slots. Cause: all VMs begin at the one that is the first of
-// the fastest path.
-func TestABurstTakesAllFirstServers(t *testing.T) {
+// Guards against late first events in each burst: more requests arrive during one stream's duration
+// than one first server has slots, and all VMs start at the first server of the fastest path.
+func TestBurstUsesAllFirstServers(t *testing.T) {
 	g := NewWithT(t)
-	q := newQueues(g, 30, 48)
-	q.stays = func(time.Duration) time.Duration { return 3 * time.Second }
-	q.play(36, 16*time.Second)
-	t.Logf("late %.2f", q.lateIn(2, 16))
-	g.Expect(q.lateIn(2, 16)).To(BeNumerically("<", 0.02))
+	q := newQueueSimulation(g, 30, 48)
+	q.duration = func(time.Duration) time.Duration { return 3 * time.Second }
+	q.run(36, 16*time.Second)
+	t.Logf("late %.2f", q.lateFraction(2, 16))
+	g.Expect(q.lateFraction(2, 16)).To(BeNumerically("<", 0.02))
 }
