--- a/internal/core/backends/choose.go
+++ b/internal/core/backends/choose.go
@@ -212,7 +212,7 @@
 	servers, slowest := f.index.sortedByID(f.servers), slowestCost(service.Engine, request)
 	holders := make([]chain.Holder, 0, len(servers))
 	for _, s := range servers {
-		if s.Service != service.Name || !f.isEligible(now, s, request) || !service.Engine.Knows(s.Card) {
+		if s.Service != service.Name || !f.isEligible(now, s, request) || !service.Engine.HasCard(s.Card) {
 			continue
 		}
 		for _, held := range s.Holds {
--- a/internal/core/routes/engine.go
+++ b/internal/core/routes/engine.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// Engine describes the servers of a model whose layers are spread over them.
+// Engine describes a service whose servers each hold some layers of a model.
 type Engine struct {
-	// Layers is the number of the model's layers.
+	// Layers is the number of layers of the model.
 	Layers int
-	// LayerMB is the memory of one layer's weights.
+	// LayerMB is the memory of one layer's weights in megabytes.
 	LayerMB float64
-	// Step is the time of one token through all layers at pace 1, without load.
+	// Step is the time of one token through all layers at pace 1 and without load.
 	Step time.Duration
 	// PerSequence is added to Step for each request of the batch.
 	PerSequence time.Duration
 	// PerContext is added to Step for each 1,000 tokens of each request of the batch.
 	PerContext time.Duration
-	// ReadPerSecond is the prompt tokens that all layers read in a second at 1.
+	// ReadPerSecond is the number of prompt tokens that all layers process in a second on a card
+	// with a Read of 1.
 	ReadPerSecond float64
-	// TokenBytes is the memory of one token of a request over all layers.
+	// TokenBytes is the memory of one token of a request over all layers, in bytes.
 	TokenBytes float64
-	// Prompt and Answer are the usual lengths, in tokens.
+	// Prompt and Answer are the typical lengths in tokens.
 	Prompt, Answer int
 	// LoadTime is the time to load all layers.
 	LoadTime time.Duration
-	// LoadsAtOnce is how many loads run at full speed; beyond, each takes longer in
-	// proportion. 0 is any number.
+	// LoadsAtOnce is the number of concurrent loads that run at full speed. Beyond it, each takes
+	// proportionally longer. 0 means any number.
 	LoadsAtOnce int
-	// Cards describes the kinds of accelerator by name.
+	// Cards are the kinds of accelerator by name.
 	Cards map[string]Card
 }
 
 // Card is a kind of accelerator.
 type Card struct {
-	// MB is its memory, for layers and for requests.
+	// MB is the memory for layers and requests, in megabytes.
 	MB float64
-	// Pace and Read are times the engine's step and reading times.
+	// Pace and Read are factors on the engine's step time and prompt reading time.
 	Pace, Read float64
 }
 
-// Knows tells whether a kind of accelerator is described. Of another one neither the
-// pace nor the memory is known, and it must not pass for a fast one.
-func (e *Engine) Knows(card string) bool {
+// HasCard reports whether a kind of accelerator is configured. The pace and memory of an unknown
+// one aren't known, and it must not count as a fast one.
+func (e *Engine) HasCard(card string) bool {
 	_, known := e.Cards[card]
 	return known
 }
 
-// Fits is the most layers that a card can hold.
+// Fits returns the maximum number of layers that a card can hold.
 func (e *Engine) Fits(card Card) int {
 	if e.LayerMB <= 0 {
 		return 0
@@ -54,8 +55,8 @@
 
 const bytesPerMB = 1e6
 
-// Room is what fits beside a number of layers held, in tokens times layers: a
-// request takes its tokens for each of the layers that it runs on a server.
+// Room returns the memory for requests beside a number of layers, in tokens times layers: a request
+// uses its tokens for each layer that it runs on a server.
 func (e *Engine) Room(card Card, layers int) float64 {
 	if layers == 0 || e.TokenBytes <= 0 {
 		return 0
@@ -64,8 +65,8 @@
 	return max(free, 0) / (e.TokenBytes / float64(e.Layers))
 }
 
-// RoomAt is the tokens of requests that servers have room for beside each of their layers
-// when layers take such a part of their memory.
+// RoomAt returns the number of request tokens that servers have memory for beside each of their
+// layers if the layers use the fraction fill of their memory.
 func (e *Engine) RoomAt(fill float64) float64 {
 	if fill <= 0 || e.TokenBytes <= 0 {
 		return 0
@@ -73,17 +74,17 @@
 	return max(1-fill, 0) / fill * e.LayerMB * bytesPerMB / (e.TokenBytes / float64(e.Layers))
 }
 
-// LoadFor is the time to load so many layers.
+// LoadFor returns the time to load a number of layers.
 func (e *Engine) LoadFor(layers int) time.Duration {
 	return e.LoadTime * time.Duration(layers) / time.Duration(max(e.Layers, 1))
 }
 
-// StepFor is the time of one token through all layers at pace 1 in a batch of so
-// many usual requests.
+// StepFor returns the time of one token through all layers at pace 1 in a batch of so many typical
+// requests.
 func (e *Engine) StepFor(requests float64) time.Duration {
 	each := float64(e.PerSequence) + float64(e.PerContext)*e.Usual()/1000
 	return e.Step + time.Duration(each*requests)
 }
 
-// Usual is the usual length of a request, prompt and answer, in tokens.
+// Usual returns the typical length of a request, prompt and answer, in tokens.
 func (e *Engine) Usual() float64 { return float64(max(e.Prompt+e.Answer, 1)) }
