--- a/internal/core/backends/choose.go
+++ b/internal/core/backends/choose.go
@@ -148,7 +148,7 @@
 func (f *Fleet) choosePath(now time.Duration, service routes.Service, request Request) (Choice, bool) {
 	for _, version := range f.versions(service.Name, request.Version) {
 		path, ok := f.findPath(now, service, version, request)
-		if !ok || !path.Tiles(service.Engine.Layers) {
+		if !ok || !path.CoversExactly(service.Engine.Layers) {
 			continue
 		}
 		if first, ok := f.servers[path[0].ID]; ok {
@@ -178,7 +178,7 @@
 		}
 	}
 	for _, cross := range []float64{math.Inf(1), crossingCost} {
-		if rest, ok := chain.Find(from, service.Engine.Layers, dataCentre, cross, holders); ok {
+		if rest, ok := chain.CheapestPath(from, service.Engine.Layers, dataCentre, cross, holders); ok {
 			return append(prefix, rest...), true
 		}
 	}
@@ -223,13 +223,13 @@
 				continue
 			}
 			holders = append(holders, chain.Holder{
-				ID:      s.ID,
-				Address: s.Address,
-				Layers:  held.Layers,
-				Place:   s.DataCentre,
-				Cost:    f.layerCost(now, s, service.Engine, held, request),
-				Hop:     hopCost * request.Answer,
-				First:   f.firstCost(s, request, slowest),
+				ID:         s.ID,
+				Address:    s.Address,
+				Layers:     held.Layers,
+				DataCentre: s.DataCentre,
+				LayerCost:  f.layerCost(now, s, service.Engine, held, request),
+				HopCost:    hopCost * request.Answer,
+				FirstCost:  f.firstCost(s, request, slowest),
 
 				NotFirst: !f.withinRateLimit(now, s.ID, request),
 			})
--- a/internal/core/chain/chain.go
+++ b/internal/core/chain/chain.go
@@ -1,6 +1,5 @@
-// Package chain finds the cheapest way through all layers of a model over
-// backend servers that each hold a range of them. It does no I/O and reads no
-// clock.
+// Package chain finds the cheapest path through all layers of a model span backend servers that
+// each hold a range of the layers. It does no I/O and reads no clock.
 package chain
 
 import (
@@ -11,34 +10,33 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// Holder is a backend server that may run a part of the layers that it holds.
+// Holder is a backend server that can run any part of the range of layers that it holds.
 type Holder struct {
-	ID      string
-	Address string
-	// Place is the data centre.
-	Place  string
-	Layers api.Layers
-	// Cost is the price of one layer on this server, Hop that of a change to it, and
-	// First what is added when it is the first one.
-	Cost, Hop, First float64
-	// NotFirst says that no path may begin here.
+	ID         string
+	Address    string
+	DataCentre string
+	Layers     api.Layers
+	// LayerCost is the cost of one layer on this server, HopCost the cost of moving to it, and
+	// FirstCost the additional cost if it is the first server of the path.
+	LayerCost, HopCost, FirstCost float64
+	// NotFirst is set if no path may start at this server.
 	NotFirst bool
 }
 
-// Part is one server's range on a path.
+// Part is the range of layers that one server runs on a path.
 type Part struct {
 	ID      string
 	Address string
 	Layers  api.Layers
 }
 
-// Path is the parts that run a request, in order.
+// Path is the ordered list of parts that run a request.
 type Path []Part
 
-// Tiles tells whether the path runs each of the layers once, in order, and no
-// server twice. A path that doesn't would give wrong tokens, which nobody on the
-// way notices: servers run what they are told. So it is asked before each send.
-func (p Path) Tiles(layers int) bool {
+// CoversExactly reports whether the path runs each of the layers once, in order, and uses no server
+// twice. It must be checked before each send: any other path gives wrong tokens, and no server
+// would detect that, since each runs the layers that it is told to.
+func (p Path) CoversExactly(layers int) bool {
 	at := 0
 	seen := make(map[string]bool, len(p))
 	for _, part := range p {
@@ -51,7 +49,7 @@
 	return at == layers && len(p) > 0
 }
 
-// String names the servers and their ranges, for logs.
+// String returns the servers and their ranges, for logs.
 func (p Path) String() string {
 	parts := make([]string, 0, len(p))
 	for _, part := range p {
@@ -60,148 +58,149 @@
 	return strings.Join(parts, " ")
 }
 
-// spot is a state of the search: all layers before a boundary are run, the last of them in
-// a data centre. It is the number of the boundary times that of data centres, and the
-// number of the data centre.
-type spot int
+// searchState is a state of the search: all layers before a boundary have run, the last of them in
+// a data centre. It is encoded as the boundary's index times the number of data centres, plus the
+// data centre's index.
+type searchState int
 
-// step is the last part of the cheapest way to a spot.
-type step struct {
-	cost    float64
-	from    spot
-	holder  int
-	reached bool
+// arrival is the last part of the cheapest path to a state.
+type arrival struct {
+	cost     float64
+	previous searchState
+	holder   int
+	reached  bool
 }
 
-// span is a holder as the search sees it: its data centre, and the boundaries where its
-// layers begin and end, by number.
-type span struct {
-	place, from, to int
+// holderSpan describes a holder by the index of its data centre and the indices of the boundaries
+// where its layers begin and end.
+type holderSpan struct {
+	dataCentre, from, to int
 }
 
-// search is one search for a path.
+// search is the state of one path search.
 type search struct {
 	holders []Holder
-	spans   []span
-	// bounds are the layers where ranges begin or end, in order: a path changes servers
-	// only there. covering lists for each the holders that run on from there.
-	bounds   []int
-	covering [][]int
-	places   []string
-	// cross is what is added when a path goes on in another data centre. Infinite
-	// forbids it.
-	cross float64
-	best  []step
-}
-
-// Find returns the cheapest path through layers [from, layers); one that begins
-// at a later layer goes on at a place.
-func Find(from, layers int, place string, cross float64, holders []Holder) (Path, bool) {
+	spans   []holderSpan
+	// bounds are the layers where ranges begin or end, in ascending order; a path changes servers
+	// only there. holdersAt lists for each boundary the holders of the layer after it.
+	bounds      []int
+	holdersAt   [][]int
+	dataCentres []string
+	// crossingCost is the cost of continuing in another data centre. Infinity forbids it.
+	crossingCost float64
+	arrivals     []arrival
+}
+
+// CheapestPath returns the cheapest path through the layers [from, layers), or false if there is
+// none. If from isn't 0, the path continues from the given data centre.
+func CheapestPath(from, layers int, dataCentre string, crossingCost float64, holders []Holder) (Path, bool) {
 	if layers <= from {
 		return nil, false
 	}
-	s := newSearch(from, layers, place, cross, holders)
-	s.best[0] = step{holder: -1, reached: true} // at from, in place
+	s := newSearch(from, layers, dataCentre, crossingCost, holders)
+	s.arrivals[0] = arrival{holder: -1, reached: true} // at layer from, in dataCentre
 	for at := range s.bounds {
-		for place := range s.places {
-			if here := s.spot(at, place); s.best[here].reached {
-				s.extend(here, at, place)
+		for dataCentre := range s.dataCentres {
+			if current := s.state(at, dataCentre); s.arrivals[current].reached {
+				s.extend(current, at, dataCentre)
 			}
 		}
 	}
-	end, reached := s.end()
+	end, reached := s.cheapestEnd()
 	if !reached {
 		return nil, false
 	}
-	return merge(s.walk(end)), true
+	return mergeByServer(s.backtrack(end)), true
 }
 
-func newSearch(from, layers int, place string, cross float64, holders []Holder) *search {
-	s := &search{holders: holders, spans: make([]span, len(holders)), cross: cross, places: []string{place}}
+func newSearch(from, layers int, dataCentre string, crossingCost float64, holders []Holder) *search {
+	s := &search{holders: holders, spans: make([]holderSpan, len(holders)), crossingCost: crossingCost, dataCentres: []string{dataCentre}}
 	s.bounds = boundaries(from, layers, holders)
-	s.covering = make([][]int, len(s.bounds))
+	s.holdersAt = make([][]int, len(s.bounds))
 	for i, h := range holders {
-		number := slices.Index(s.places, h.Place)
-		if number < 0 {
-			number = len(s.places)
-			s.places = append(s.places, h.Place)
+		dataCentre := slices.Index(s.dataCentres, h.DataCentre)
+		if dataCentre < 0 {
+			dataCentre = len(s.dataCentres)
+			s.dataCentres = append(s.dataCentres, h.DataCentre)
 		}
 		begin, _ := slices.BinarySearch(s.bounds, min(max(h.Layers.From, from), layers))
 		end, _ := slices.BinarySearch(s.bounds, min(max(h.Layers.To, from), layers))
-		s.spans[i] = span{place: number, from: begin, to: end}
+		s.spans[i] = holderSpan{dataCentre: dataCentre, from: begin, to: end}
 		for at := begin; at < end; at++ {
-			s.covering[at] = append(s.covering[at], i)
+			s.holdersAt[at] = append(s.holdersAt[at], i)
 		}
 	}
-	s.best = make([]step, len(s.bounds)*len(s.places))
+	s.arrivals = make([]arrival, len(s.bounds)*len(s.dataCentres))
 	return s
 }
 
-func (s *search) spot(bound, place int) spot { return spot(bound*len(s.places) + place) }
+func (s *search) state(bound, dataCentre int) searchState {
+	return searchState(bound*len(s.dataCentres) + dataCentre)
+}
 
-// end is the spot after the last layer that is reached at least cost.
-func (s *search) end() (end spot, reached bool) {
-	for place := range s.places {
-		at := s.spot(len(s.bounds)-1, place)
-		if known := s.best[at]; known.reached && (!reached || known.cost < s.best[end].cost) {
+// cheapestEnd returns the cheapest state after the last layer.
+func (s *search) cheapestEnd() (end searchState, reached bool) {
+	for dataCentre := range s.dataCentres {
+		at := s.state(len(s.bounds)-1, dataCentre)
+		if known := s.arrivals[at]; known.reached && (!reached || known.cost < s.arrivals[end].cost) {
 			end, reached = at, true
 		}
 	}
 	return end, reached
 }
 
-// extend tries each part that begins at a spot.
-func (s *search) extend(here spot, at, place int) {
+// extend tries each part that begins at a state.
+func (s *search) extend(current searchState, at, dataCentre int) {
 	begins := s.bounds[at] == 0
-	for _, i := range s.covering[at] {
-		h, over := s.holders[i], s.spans[i]
-		entry := s.best[here].cost + h.Hop
+	for _, i := range s.holdersAt[at] {
+		h, span := s.holders[i], s.spans[i]
+		entry := s.arrivals[current].cost + h.HopCost
 		switch {
 		case begins && h.NotFirst:
 			continue
 		case begins:
-			entry += h.First
-		case place != over.place && math.IsInf(s.cross, 1):
+			entry += h.FirstCost
+		case dataCentre != span.dataCentre && math.IsInf(s.crossingCost, 1):
 			continue
-		case place != over.place:
-			entry += s.cross
+		case dataCentre != span.dataCentre:
+			entry += s.crossingCost
 		}
-		for to := at + 1; to <= over.to; to++ {
-			next, total := s.spot(to, over.place), entry+h.Cost*float64(s.bounds[to]-s.bounds[at])
-			if known := s.best[next]; !known.reached || total < known.cost {
-				s.best[next] = step{cost: total, from: here, holder: i, reached: true}
+		for to := at + 1; to <= span.to; to++ {
+			next, total := s.state(to, span.dataCentre), entry+h.LayerCost*float64(s.bounds[to]-s.bounds[at])
+			if known := s.arrivals[next]; !known.reached || total < known.cost {
+				s.arrivals[next] = arrival{cost: total, previous: current, holder: i, reached: true}
 			}
 		}
 	}
 }
 
-// boundaries lists the layers where ranges begin or end, each once, in order.
+// boundaries returns the distinct layers where ranges begin or end, in ascending order.
 func boundaries(from, layers int, holders []Holder) []int {
-	places := make([]int, 0, 2*len(holders)+2)
-	places = append(places, from, layers)
+	bounds := make([]int, 0, 2*len(holders)+2)
+	bounds = append(bounds, from, layers)
 	for _, h := range holders {
-		places = append(places, min(max(h.Layers.From, from), layers), min(max(h.Layers.To, from), layers))
+		bounds = append(bounds, min(max(h.Layers.From, from), layers), min(max(h.Layers.To, from), layers))
 	}
-	slices.Sort(places)
-	return slices.Compact(places)
+	slices.Sort(bounds)
+	return slices.Compact(bounds)
 }
 
-// walk follows the cheapest way to a spot back to where the search began.
-func (s *search) walk(end spot) Path {
+// backtrack returns the cheapest path to a state.
+func (s *search) backtrack(end searchState) Path {
 	var path Path
-	for at := end; s.best[at].holder >= 0; at = s.best[at].from {
-		h, last := s.holders[s.best[at].holder], s.best[at]
-		layers := api.Layers{From: s.bounds[int(last.from)/len(s.places)], To: s.bounds[int(at)/len(s.places)]}
+	for at := end; s.arrivals[at].holder >= 0; at = s.arrivals[at].previous {
+		h, last := s.holders[s.arrivals[at].holder], s.arrivals[at]
+		layers := api.Layers{From: s.bounds[int(last.previous)/len(s.dataCentres)], To: s.bounds[int(at)/len(s.dataCentres)]}
 		path = append(path, Part{ID: h.ID, Address: h.Address, Layers: layers})
 	}
 	slices.Reverse(path)
 	return path
 }
 
-// merge joins parts of one server. A cheap server in the middle of another's
-// range makes a path that comes back to the other, which servers refuse; since
-// the other holds what lies between, it runs that too.
-func merge(path Path) Path {
+// mergeByServer merges the parts of a server that occurs twice. A cheap server in the middle of
+// another's range gives a path that returns to the other, which servers reject. Since the other
+// also holds the layers in between, it runs them, too.
+func mergeByServer(path Path) Path {
 	var merged Path
 	for _, part := range path {
 		at := slices.IndexFunc(merged, func(p Part) bool { return p.ID == part.ID })
@@ -215,9 +214,9 @@
 	return merged
 }
 
-// Uncovered lists the ranges of layers that no holder has.
+// Uncovered returns the ranges of layers that no holder has.
 func Uncovered(layers int, holders []Holder) []api.Layers {
-	counts := Copies(layers, holders)
+	counts := CopiesPerLayer(layers, holders)
 	var gaps []api.Layers
 	for layer, count := range counts {
 		switch {
@@ -231,8 +230,8 @@
 	return gaps
 }
 
-// Copies counts the holders of each layer.
-func Copies(layers int, holders []Holder) []int {
+// CopiesPerLayer counts the holders of each layer.
+func CopiesPerLayer(layers int, holders []Holder) []int {
 	counts := make([]int, layers)
 	for _, h := range holders {
 		for layer := max(h.Layers.From, 0); layer < min(h.Layers.To, layers); layer++ {
