--- a/internal/core/history/history_test.go
+++ b/internal/core/history/history_test.go
@@ -16,8 +16,8 @@
 	return version
 }
 
-// Guards against: a high revision of a former history counts as newer.
-func TestVersionsAreOrderedByHistoryFirst(t *testing.T) {
+// Guards against a high revision of a former history counting as newer.
+func TestVersionsAreOrderedByHistoryThenRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		numbers, revisions := rapid.Uint64Range(0, 1<<16-1), rapid.Uint64Range(0, 1<<48-1)
@@ -28,14 +28,14 @@
 	})
 }
 
-func TestVersionsOfAStoreWithoutHistoriesAreItsRevisions(t *testing.T) {
+func TestVersionWithoutHistoryEqualsItsRevision(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(at(t, 0, 77)).To(BeEquivalentTo(77))
 	g.Expect(at(t, 0, 77).String()).To(Equal("77"))
 	g.Expect(at(t, 2, 77).String()).To(Equal("2.77"))
 }
 
-func TestAVersionBeyondItsBoundsIsAnError(t *testing.T) {
+func TestVersionOutOfRangeIsAnError(t *testing.T) {
 	g := NewWithT(t)
 	for _, beyond := range [][2]uint64{{1 << 16, 1}, {1, 1 << 48}} {
 		_, err := history.At(beyond[0], beyond[1])
