--- a/internal/core/spread/bench_test.go
+++ b/internal/core/spread/bench_test.go
@@ -8,8 +8,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/spread"
 )
 
-// mixed is a data centre of unlike servers: one fast, three middle, four slow of
-// each eight.
+// mixed returns n servers of which, in each group of eight, one is fast, three are medium and
+// four are slow.
 func mixed(n int) []spread.Server {
 	kinds := []routes.Card{big, middle, middle, middle, small, small, small, small}
 	var cards []routes.Card
@@ -19,8 +19,8 @@
 	return fleet(cards...)
 }
 
-// BenchmarkPlan is one look of the VM that orders layers, of 200 ms each, at a
-// layout in place from which one server was lost.
+// BenchmarkPlan measures one planning round, run every 200 ms, on an existing layout that has
+// lost one server.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{33, 86, 770} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/core/spread/loads.go
+++ b/internal/core/spread/loads.go
@@ -8,24 +8,27 @@
 	"oleandershunt.example/oleandershunt/internal/core/routes"
 )
 
-// Loads bounds the loads of weights that run at once in a data centre.
+// Loads limits how many weight loads run concurrently in a data centre.
 //
-// What can go wrong: all servers load from one store of weights, and beyond some loads at
-// once each takes longer in proportion. A fifth of the servers is lost; every data centre
-// orders all that it lacks at the same moment, 20 loads where 3 run at full speed. Each takes
-// seven times as long, none is done for ten seconds, and nothing is served.
+// All servers load from one weight store, and beyond a certain number of concurrent loads each
+// one slows down in proportion. Without a limit, when a fifth of the servers is lost, every data
+// centre orders everything it is missing at once: 20 loads run where 3 would run at full speed,
+// each takes seven times as long, none completes for ten seconds, and nothing is served in the
+// meantime.
 type Loads struct {
-	// AtOnce is how many may run. 0 is no bound.
+	// AtOnce is the maximum number of concurrent loads; 0 means no limit.
 	AtOnce int
-	// Elsewhere counts the servers of other data centres that requests can use, by layer.
+	// Elsewhere is, for each layer, the number of servers in other data centres that can serve
+	// it.
 	Elsewhere []int
-	// Turn is the place of the data centre among all. What no data centre holds, each
-	// begins to load from another place.
+	// Turn is the index of this data centre among all of them. It rotates the load order of
+	// layers that no data centre holds, so that each data centre starts with a different one.
 	Turn int
 }
 
-// Share is how many loads may run in one data centre when so many run at full speed in all
-// of them: its part of them, and what the others leave.
+// Share returns how many loads may run in one data centre, given how many run at full speed in
+// all data centres together (atOnce) and how many servers elsewhere need one: at least an equal
+// part, or more if the other data centres leave capacity unused. 0 means no limit.
 func Share(atOnce, dataCentres, elsewhere int) int {
 	if atOnce <= 0 {
 		return 0
@@ -34,76 +37,79 @@
 	return max((atOnce+dataCentres-1)/dataCentres, atOnce-elsewhere)
 }
 
-// The ranks of orders, in the order in which they get a load.
+// Load priorities of orders, highest first.
 const (
-	// forAll brings layers that no data centre holds: without them nothing is served.
-	forAll = iota
-	// forOwn brings layers that the data centre doesn't hold.
-	forOwn
-	// forMore adds to layers that it holds.
-	forMore
+	// missingEverywhere is for layers that no data centre holds: nothing can be served without
+	// them.
+	missingEverywhere = iota
+	// missingLocally is for layers that this data centre does not hold.
+	missingLocally
+	// extraCopy is for layers that this data centre already holds.
+	extraCopy
 )
 
-// Admit returns the orders that may be given now. Those that load nothing always may.
+// Admit returns the orders that may be issued now. Orders that require no load are always
+// admitted.
 func (l Loads) Admit(engine *routes.Engine, servers []Server, orders []Order) []Order {
 	if l.AtOnce <= 0 {
 		return orders
 	}
-	counts := (&plan{engine: engine, servers: servers}).counts(anyTime)
-	held := make(map[string]api.Layers, len(servers))
+	counts := (&planner{engine: engine, servers: servers}).copyCounts(anyWait)
+	heldBy := make(map[string]api.Layers, len(servers))
 	running := 0
 	for _, s := range servers {
-		held[s.ID] = s.Holds
-		if s.runs(engine) {
+		heldBy[s.ID] = s.Holds
+		if s.loadRunning(engine) {
 			running++
 		}
 	}
 	var admitted, loads []Order
-	ranks := make(map[string]int)
+	priorities := make(map[string]int)
 	for _, order := range orders {
-		if fresh(held[order.Server], order.Layers) == 0 {
+		if layersToLoad(heldBy[order.Server], order.Layers) == 0 {
 			admitted = append(admitted, order)
 			continue
 		}
-		ranks[order.Server] = l.rank(counts, order.Layers)
-		count(counts, order.Layers)
+		priorities[order.Server] = l.priority(counts, order.Layers)
+		addCopies(counts, order.Layers)
 		loads = append(loads, order)
 	}
-	slices.SortStableFunc(loads, func(a, b Order) int { return cmp.Compare(ranks[a.Server], ranks[b.Server]) })
-	rotate(loads, ranks, l.Turn)
+	slices.SortStableFunc(loads, func(a, b Order) int { return cmp.Compare(priorities[a.Server], priorities[b.Server]) })
+	rotate(loads, priorities, l.Turn)
 	return append(admitted, loads[:min(len(loads), max(l.AtOnce-running, 0))]...)
 }
 
-// runs tells whether a load seems to run on a server. One that takes more than twice its
-// time may never have begun: its order was lost, or is carried out much later. If it were
-// waited for, a data centre that may run one load would load nothing meanwhile.
-func (s Server) runs(engine *routes.Engine) bool {
-	loads := fresh(s.Holds, s.Ordered)
+// loadRunning reports whether a load is probably running on the server. A load that takes more
+// than twice its expected time may never have started, because its order was lost or delayed.
+// Waiting for it would keep a data centre limited to one load from loading anything.
+func (s Server) loadRunning(engine *routes.Engine) bool {
+	loads := layersToLoad(s.Holds, s.Ordered)
 	return s.Loading && loads > 0 && s.Wait > -engine.LoadFor(loads)
 }
 
-// fresh is how many layers a server loads that goes from one range to another.
-func fresh(held, to api.Layers) int { return to.Len() - overlap(held, to) }
+// layersToLoad returns how many layers a server has to load to change from one range to another.
+func layersToLoad(held, to api.Layers) int { return to.Len() - overlap(held, to) }
 
-// rank is how much an order is needed, beside what is held or will be.
-func (l Loads) rank(counts []int, layers api.Layers) int {
-	rank := forMore
+// priority returns the load priority of an order, given the number of copies of each layer,
+// planned ones included.
+func (l Loads) priority(counts []int, layers api.Layers) int {
+	priority := extraCopy
 	for at := max(layers.From, 0); at < min(layers.To, len(counts)); at++ {
 		if counts[at] > 0 {
 			continue
 		}
 		if at >= len(l.Elsewhere) || l.Elsewhere[at] == 0 {
-			return forAll
+			return missingEverywhere
 		}
-		rank = forOwn
+		priority = missingLocally
 	}
-	return rank
+	return priority
 }
 
-// rotate has the orders that all data centres need begin at the turn's place.
-func rotate(loads []Order, ranks map[string]int, turn int) {
+// rotate makes the orders for layers that no data centre holds start at the index given by turn.
+func rotate(loads []Order, priorities map[string]int, turn int) {
 	first := 0
-	for first < len(loads) && ranks[loads[first].Server] == forAll {
+	for first < len(loads) && priorities[loads[first].Server] == missingEverywhere {
 		first++
 	}
 	if first == 0 {
@@ -114,8 +120,8 @@
 	copy(loads, head)
 }
 
-// count adds a server for each layer that it holds.
-func count(counts []int, held api.Layers) {
+// addCopies adds one copy for each layer in a range.
+func addCopies(counts []int, held api.Layers) {
 	for at := max(held.From, 0); at < min(held.To, len(counts)); at++ {
 		counts[at]++
 	}
--- a/internal/core/spread/loads_test.go
+++ b/internal/core/spread/loads_test.go
@@ -13,57 +13,57 @@
 	"oleandershunt.example/oleandershunt/internal/core/spread"
 )
 
-// store plays data centres whose servers load from one store of weights, of which so many
-// loads run at full speed, in virtual time.
-type store struct {
-	engine  *routes.Engine
-	places  [][]spread.Server
-	left    map[string]time.Duration // of each load at full speed
-	atOnce  int
-	bounded bool
+// loadSimulation simulates, in virtual time, data centres whose servers load weights from one
+// shared store. Up to atOnce loads run at full speed; more slow each other down.
+type loadSimulation struct {
+	engine      *routes.Engine
+	dataCentres [][]spread.Server
+	remaining   map[string]time.Duration // load time left at full speed, by server ID
+	atOnce      int
+	limited     bool
 }
 
-const lookEvery = 200 * time.Millisecond
+const tickInterval = 200 * time.Millisecond
 
-// look has each data centre decide, and lets the loads go on.
-func (s *store) look() {
-	for at, servers := range s.places {
+// tick makes each data centre plan once and advances the running loads.
+func (s *loadSimulation) tick() {
+	for at, servers := range s.dataCentres {
 		var loads spread.Loads
-		if s.bounded {
+		if s.limited {
 			loads = s.loads(at)
 		}
 		for _, order := range loads.Admit(s.engine, servers, spread.Plan(s.engine, servers)) {
 			i := slices.IndexFunc(servers, func(server spread.Server) bool { return server.ID == order.Server })
 			kept := servers[i].Holds.Overlap(order.Layers)
-			s.left[order.Server] = s.engine.LoadFor(order.Layers.Len() - kept.Len())
+			s.remaining[order.Server] = s.engine.LoadFor(order.Layers.Len() - kept.Len())
 			servers[i].Loading, servers[i].Ordered, servers[i].Holds = true, order.Layers, kept
 		}
 	}
-	s.load()
+	s.advance()
 }
 
-// load lets the loads go on for the time between two looks.
-func (s *store) load() {
-	step := lookEvery * time.Duration(min(s.atOnce, len(s.left))) / time.Duration(max(len(s.left), 1))
-	for _, servers := range s.places {
+// advance progresses the running loads by one tick.
+func (s *loadSimulation) advance() {
+	step := tickInterval * time.Duration(min(s.atOnce, len(s.remaining))) / time.Duration(max(len(s.remaining), 1))
+	for _, servers := range s.dataCentres {
 		for i := range servers {
-			left, ok := s.left[servers[i].ID]
+			remaining, ok := s.remaining[servers[i].ID]
 			if !ok {
 				continue
 			}
-			if s.left[servers[i].ID] = left - step; left <= step {
-				delete(s.left, servers[i].ID)
+			if s.remaining[servers[i].ID] = remaining - step; remaining <= step {
+				delete(s.remaining, servers[i].ID)
 				servers[i].Loading, servers[i].Holds = false, servers[i].Ordered
 			}
 		}
 	}
 }
 
-func (s *store) loads(at int) spread.Loads {
+func (s *loadSimulation) loads(at int) spread.Loads {
 	empty := 0
 	var elsewhere []spread.Server
-	for place, servers := range s.places {
-		if place == at {
+	for other, servers := range s.dataCentres {
+		if other == at {
 			continue
 		}
 		for _, server := range servers {
@@ -73,108 +73,109 @@
 			}
 		}
 	}
-	return spread.Loads{AtOnce: spread.Share(s.atOnce, len(s.places), empty), Elsewhere: spread.Copies(s.engine, elsewhere), Turn: at}
+	return spread.Loads{AtOnce: spread.Share(s.atOnce, len(s.dataCentres), empty), Elsewhere: spread.Copies(s.engine, elsewhere), Turn: at}
 }
 
-// until plays so long. whole is when requests can use all layers of some servers, wherever they are, and each is
-// when each data centre can on the mean.
-func (s *store) until(within time.Duration) (whole, each time.Duration) {
-	covered := make([]time.Duration, len(s.places))
-	whole = within
-	for now := time.Duration(0); now < within; now += lookEvery {
-		s.look()
+// run simulates the given time. covered is the time after which the data centres together can
+// serve every layer, and each is the mean time after which a single data centre can.
+func (s *loadSimulation) run(within time.Duration) (covered, each time.Duration) {
+	coveredAt := make([]time.Duration, len(s.dataCentres))
+	covered = within
+	for now := time.Duration(0); now < within; now += tickInterval {
+		s.tick()
 		var all []spread.Server
-		for at, servers := range s.places {
+		for at, servers := range s.dataCentres {
 			all = append(all, servers...)
-			if covered[at] == 0 && spread.Covered(s.engine, servers) {
-				covered[at] = now
+			if coveredAt[at] == 0 && spread.Covered(s.engine, servers) {
+				coveredAt[at] = now
 			}
 		}
-		if whole == within && spread.Covered(s.engine, all) {
-			whole = now
+		if covered == within && spread.Covered(s.engine, all) {
+			covered = now
 		}
 	}
-	for _, at := range covered {
+	for _, at := range coveredAt {
 		if at == 0 {
 			at = within
 		}
-		each += at / time.Duration(len(covered))
+		each += at / time.Duration(len(coveredAt))
 	}
-	return whole, each
+	return covered, each
 }
 
-// emptied is five data centres whose servers have all started again, and hold nothing.
-func emptied(bounded bool) *store {
+// emptied returns five data centres whose servers have all restarted and hold no layers.
+func emptied(limited bool) *loadSimulation {
 	card := routes.Card{MB: 32_000, Pace: 4, Read: 3}
-	s := &store{
+	s := &loadSimulation{
 		engine: &routes.Engine{
 			Layers: 80, LayerMB: 1000, TokenBytes: 918_000, Prompt: 775, Answer: 217, LoadTime: 14 * time.Second,
 			Cards: map[string]routes.Card{"c": card},
 		},
-		left: make(map[string]time.Duration), atOnce: 3, bounded: bounded,
+		remaining: make(map[string]time.Duration), atOnce: 3, limited: limited,
 	}
-	for place := range 5 {
+	for dataCentre := range 5 {
 		var servers []spread.Server
 		for i := range 7 {
-			servers = append(servers, spread.Server{ID: fmt.Sprintf("s%d-%d", place, i), Card: card})
+			servers = append(servers, spread.Server{ID: fmt.Sprintf("s%d-%d", dataCentre, i), Card: card})
 		}
-		s.places = append(s.places, servers)
+		s.dataCentres = append(s.dataCentres, servers)
 	}
 	return s
 }
 
-// Symptom: nothing is served for ten seconds after a fifth of the servers went, though enough
-// are there. Sequence: five data centres lack layers at once; each orders all of them. Cause:
-// 20 and more loads run where 3 do at full speed, and all are done at the very end.
-func TestFewLoadsAtOnceBringAPathSooner(t *testing.T) {
+// Guards against unlimited concurrent loads: when several data centres are missing layers at
+// once, 20 or more loads run where 3 run at full speed, and all of them complete only at the
+// very end. Nothing is served for ten seconds although enough servers remain.
+func TestLoadLimitShortensTimeToFirstCompleteCopy(t *testing.T) {
 	g := NewWithT(t)
 	const within = 3 * time.Minute
-	unbounded, unboundedEach := emptied(false).until(within)
-	bounded, boundedEach := emptied(true).until(within)
-	t.Logf("a whole path after %s, each data centre after %s; without a bound %s, %s", bounded, boundedEach, unbounded, unboundedEach)
-	g.Expect(bounded).To(BeNumerically("<", unbounded/2))
-	g.Expect(boundedEach).To(BeNumerically("<=", unboundedEach))
+	unlimited, unlimitedEach := emptied(false).run(within)
+	limited, limitedEach := emptied(true).run(within)
+	t.Logf("all layers covered after %s, in each data centre after %s; without a limit after %s, %s", limited, limitedEach, unlimited, unlimitedEach)
+	g.Expect(limited).To(BeNumerically("<", unlimited/2))
+	g.Expect(limitedEach).To(BeNumerically("<=", unlimitedEach))
 }
 
-func TestLoadsThatMayRunAreShared(t *testing.T) {
+func TestShareDividesLoadLimitAmongDataCentres(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(spread.Share(0, 5, 9)).To(Equal(0), "no bound")
-	g.Expect(spread.Share(3, 5, 20)).To(Equal(1), "each may run one")
-	g.Expect(spread.Share(31, 5, 0)).To(Equal(31), "the others load nothing")
+	g.Expect(spread.Share(0, 5, 9)).To(Equal(0), "no limit")
+	g.Expect(spread.Share(3, 5, 20)).To(Equal(1), "each data centre may run one load")
+	g.Expect(spread.Share(31, 5, 0)).To(Equal(31), "the other data centres load nothing")
 	g.Expect(spread.Share(31, 5, 30)).To(Equal(7))
 }
 
-// engineOf has four layers, of which a server may hold two.
-func engineOf() *routes.Engine {
+// smallEngine returns a model of four layers. A server of its card takes two when it leaves memory
+// for requests.
+func smallEngine() *routes.Engine {
 	return &routes.Engine{Layers: 4, LayerMB: 1, TokenBytes: 1000, LoadTime: time.Second, Cards: map[string]routes.Card{"c": {MB: 3, Pace: 1}}}
 }
 
-func TestWhatNobodyHoldsIsLoadedFirst(t *testing.T) {
+func TestAdmitPrefersLayersThatNobodyHolds(t *testing.T) {
 	g := NewWithT(t)
 	servers := []spread.Server{{ID: "s1"}, {ID: "s2"}, {ID: "s3"}, {ID: "s4", Holds: api.Layers{From: 0, To: 1}}}
-	more := spread.Order{Server: "s1", Layers: api.Layers{From: 0, To: 1}}
-	own := spread.Order{Server: "s2", Layers: api.Layers{From: 1, To: 2}}
-	all := spread.Order{Server: "s3", Layers: api.Layers{From: 2, To: 4}}
-	less := spread.Order{Server: "s4", Layers: api.Layers{From: 0, To: 1}}
-	orders := []spread.Order{more, own, all, less}
+	extra := spread.Order{Server: "s1", Layers: api.Layers{From: 0, To: 1}}
+	missingHere := spread.Order{Server: "s2", Layers: api.Layers{From: 1, To: 2}}
+	missingEverywhere := spread.Order{Server: "s3", Layers: api.Layers{From: 2, To: 4}}
+	noLoad := spread.Order{Server: "s4", Layers: api.Layers{From: 0, To: 1}}
+	orders := []spread.Order{extra, missingHere, missingEverywhere, noLoad}
 	loads := spread.Loads{AtOnce: 1, Elsewhere: []int{1, 1, 0, 0}}
-	g.Expect(loads.Admit(engineOf(), servers, orders)).To(Equal([]spread.Order{less, all}), "and what loads nothing is always given")
+	g.Expect(loads.Admit(smallEngine(), servers, orders)).To(Equal([]spread.Order{noLoad, missingEverywhere}), "an order that loads nothing is always admitted")
 	loads.AtOnce = 2
-	g.Expect(loads.Admit(engineOf(), servers, orders)).To(Equal([]spread.Order{less, all, own}))
-	g.Expect(spread.Loads{}.Admit(engineOf(), servers, orders)).To(Equal(orders))
+	g.Expect(loads.Admit(smallEngine(), servers, orders)).To(Equal([]spread.Order{noLoad, missingEverywhere, missingHere}))
+	g.Expect(spread.Loads{}.Admit(smallEngine(), servers, orders)).To(Equal(orders))
 	servers[0].Loading, servers[0].Ordered = true, api.Layers{From: 0, To: 1}
-	g.Expect(loads.Admit(engineOf(), servers, orders[1:])).To(Equal([]spread.Order{less, all}), "one load runs")
+	g.Expect(loads.Admit(smallEngine(), servers, orders[1:])).To(Equal([]spread.Order{noLoad, missingEverywhere}), "one load is running")
 	servers[0].Wait = -time.Second
-	g.Expect(loads.Admit(engineOf(), servers, orders[1:])).To(Equal([]spread.Order{less, all, own}), "it should have ended long ago")
+	g.Expect(loads.Admit(smallEngine(), servers, orders[1:])).To(Equal([]spread.Order{noLoad, missingEverywhere, missingHere}), "the running load is long overdue")
 }
 
-func TestEachDataCentreBeginsElsewhere(t *testing.T) {
+func TestDataCentresStartWithDifferentLayers(t *testing.T) {
 	g := NewWithT(t)
 	servers := []spread.Server{{ID: "s1"}, {ID: "s2"}}
 	orders := []spread.Order{{Server: "s1", Layers: api.Layers{From: 0, To: 2}}, {Server: "s2", Layers: api.Layers{From: 2, To: 4}}}
 	for turn, server := range []string{"s1", "s2", "s1"} {
 		loads := spread.Loads{AtOnce: 1, Elsewhere: make([]int, 4), Turn: turn}
-		admitted := loads.Admit(engineOf(), servers, orders)
+		admitted := loads.Admit(smallEngine(), servers, orders)
 		g.Expect(admitted).To(HaveLen(1))
 		g.Expect(admitted[0].Server).To(Equal(server))
 	}
--- a/internal/core/spread/toward.go
+++ b/internal/core/spread/migration.go
@@ -8,29 +8,29 @@
 	"oleandershunt.example/oleandershunt/internal/core/routes"
 )
 
-// Toward returns the orders that can be given now to bring servers from what they
-// hold to the layout that suits them. A server that has to move first grows, where
-// its memory allows it, and shrinks when what it gives up has other copies. No
-// order takes away the last copy of a layer, unless some layer has none already
-// and the servers are stuck: each waits for another to take over what it holds.
-func Toward(engine *routes.Engine, servers []Server) []Order {
+// MigrationOrders returns the orders that can be issued now to move servers from what they hold
+// to the layout that suits them. A server that has to move first grows to hold both ranges if
+// its memory allows it, and shrinks once other servers hold what it drops. No order removes the
+// last copy of a layer, unless some layer has no copy already and the servers are deadlocked,
+// each waiting for another to take over its layers.
+func MigrationOrders(engine *routes.Engine, servers []Server) []Order {
 	counts := Copies(engine, servers)
 	covered := !slices.Contains(counts, 0)
 	var safe, stuck []Order
 	loading := false
-	for _, target := range match(servers, Layout(engine, servers)) {
+	for _, target := range reassign(servers, Layout(engine, servers)) {
 		at := slices.IndexFunc(servers, func(s Server) bool { return s.ID == target.Server })
 		s := servers[at]
 		loading = loading || s.Loading
 		if s.Lost || s.Loading || s.Holds == target.Layers {
 			continue
 		}
-		to, ok := step(engine, counts, s, target.Layers)
+		to, ok := nextRange(engine, counts, s, target.Layers)
 		if !ok || to == s.Holds {
 			stuck = append(stuck, target)
 			continue
 		}
-		giveUp(counts, s.Holds, to)
+		removeDropped(counts, s.Holds, to)
 		safe = append(safe, Order{Server: s.ID, Layers: to})
 	}
 	if len(safe) == 0 && !loading && !covered {
@@ -39,8 +39,8 @@
 	return safe
 }
 
-// giveUp takes a server off the layers that it will not hold any more.
-func giveUp(counts []int, held, to api.Layers) {
+// removeDropped subtracts a copy of each layer that a server drops when it changes ranges.
+func removeDropped(counts []int, held, to api.Layers) {
 	for layer := held.From; layer < held.To; layer++ {
 		if layer < to.From || layer >= to.To {
 			counts[layer]--
@@ -48,8 +48,8 @@
 	}
 }
 
-// step is the range that a server may take next on its way to its target.
-func step(engine *routes.Engine, counts []int, s Server, target api.Layers) (api.Layers, bool) {
+// nextRange returns the range that a server may change to next on the way to its target.
+func nextRange(engine *routes.Engine, counts []int, s Server, target api.Layers) (api.Layers, bool) {
 	if s.Holds.Len() == 0 {
 		return target, true
 	}
@@ -58,9 +58,9 @@
 	}
 	hull := api.Layers{From: min(s.Holds.From, target.From), To: max(s.Holds.To, target.To)}
 	touching := s.Holds.From <= target.To && target.From <= s.Holds.To
-	limit := grown
+	limit := fillTransition
 	if slices.Contains(counts[hull.From:hull.To], 0) {
-		limit = crowded
+		limit = fillUncovered
 	}
 	if touching && hull.Len() <= int(limit*float64(engine.Fits(s.Card))) {
 		return hull, true
@@ -68,7 +68,7 @@
 	return api.Layers{}, false
 }
 
-// droppable tells whether every layer that is given up has another copy.
+// droppable reports whether every layer that a server would drop has another copy.
 func droppable(counts []int, held, target api.Layers) bool {
 	for layer := held.From; layer < min(held.To, len(counts)); layer++ {
 		if (layer < target.From || layer >= target.To) && counts[layer] < 2 {
@@ -78,9 +78,9 @@
 	return true
 }
 
-// match deals the ranges of a layout anew among servers of one kind, so that each
-// has to load little.
-func match(servers []Server, orders []Order) []Order {
+// reassign swaps the ranges of a layout among servers with the same card, so that few layers
+// have to be loaded.
+func reassign(servers []Server, orders []Order) []Order {
 	matched := slices.Clone(orders)
 	slices.SortStableFunc(matched, func(a, b Order) int { return cmp.Compare(a.Layers.From, b.Layers.From) })
 	cards := make(map[string]Server, len(servers))
@@ -103,14 +103,14 @@
 	return matched
 }
 
-// swapGain is how many layers less are loaded when two servers swap their ranges.
+// swapGain returns how many fewer layers are loaded if two servers swap their ranges.
 func swapGain(a, b Server, forA, forB api.Layers) int {
 	return overlap(a.planned(), forB) + overlap(b.planned(), forA) - overlap(a.planned(), forA) - overlap(b.planned(), forB)
 }
 
 func overlap(a, b api.Layers) int { return a.Overlap(b).Len() }
 
-// Covered tells whether requests can use every layer.
+// Covered reports whether requests can use every layer.
 func Covered(engine *routes.Engine, servers []Server) bool {
 	return !slices.Contains(Copies(engine, servers), 0)
 }
--- a/internal/core/spread/plan.go
+++ b/internal/core/spread/plan.go
@@ -10,56 +10,59 @@
 	"oleandershunt.example/oleandershunt/internal/core/routes"
 )
 
-// The figures of a plan.
+// Parameters of a plan.
 const (
-	// expendable is the part of a layer's strength up to which a server can be taken
-	// away from it: the others hardly notice.
-	expendable = 0.35
-	// worthMove is by how many times a move must lower the need of all layers
-	// together. A move costs the time of a load; and since the need falls with each of
-	// them, servers come to rest.
-	worthMove = 1.15
-	// soon is how long a load may take for layers that nobody else holds: a small server
-	// that can be spared loads its part of them in less.
-	soon = 2 * time.Second
-	// usedCost is how much a server that is full of requests counts as missed beyond
-	// its part of the strength: what it gives up is free only when they have ended.
-	usedCost = 0.5
+	// maxSpareShare is the largest share of a layer's capacity that a server may have and still
+	// be moved away: the remaining servers hardly notice its loss.
+	maxSpareShare = 0.35
+	// minMoveGain is the factor by which a move must lower the deficit of all layers together. A
+	// move costs the time of a load; and since every move lowers the deficit, the layout becomes
+	// stable.
+	minMoveGain = 1.15
+	// shortLoad is how long a load may take and still count as cover for layers that nobody else
+	// holds: a small spare server loads its part of them in less.
+	shortLoad = 2 * time.Second
+	// utilizationPenalty is added to a server's share of the capacity, in proportion to its
+	// utilization, when choosing which server to move: the memory of the layers it drops becomes
+	// free only when its requests have ended.
+	utilizationPenalty = 0.5
 )
 
-// Plan returns the orders that can be given now. Servers stay where they are as
-// long as they are of use there:
+// Plan returns the orders that can be issued now. Servers keep their layers as long as they are
+// useful there:
 //
-//   - servers that hold nothing yet get a whole layout;
-//   - layers that nobody holds go to empty servers and to those that can be spared,
-//     and only when these don't suffice are the others moved (Toward);
-//   - other empty servers take the layers that are weakest;
-//   - a server that can be spared helps the weakest layers where that gains much.
+//   - If no server holds layers other than its part of the initial layout, the whole layout is
+//     ordered.
+//   - Layers that nobody holds go to empty servers and to spare ones. The other servers are
+//     moved only if these do not suffice (MigrationOrders).
+//   - The remaining empty servers take the layers with the least capacity.
+//   - A spare server moves to the layers with the least capacity if the gain is large.
 //
-// What can go wrong: each server that comes or goes gives another layout of the whole
-// data centre. If all servers moved to that, one that works would be out of order while
-// another lacks a layer. One notices many orders within a second and servers that
-// refuse for want of room for ten seconds.
+// Each server that joins or leaves changes the optimal layout of the whole data centre. If all
+// servers moved to the new layout, working servers would become unavailable while others are
+// missing a layer. The symptoms are many orders within a second, and servers that reject
+// requests for lack of memory for ten seconds.
 func Plan(engine *routes.Engine, servers []Server) []Order {
-	if orders, ok := initial(engine, servers); ok {
+	if orders, ok := initialOrders(engine, servers); ok {
 		return orders
 	}
-	p := plan{engine: engine, servers: slices.Clone(servers)}
-	p.cover()
-	if slices.Contains(p.counts(anyTime), 0) {
-		return Toward(engine, servers)
+	p := planner{engine: engine, servers: slices.Clone(servers)}
+	p.coverMissing()
+	if slices.Contains(p.copyCounts(anyWait), 0) {
+		return MigrationOrders(engine, servers)
 	}
 	p.fillEmpty()
-	p.relieve()
+	p.relieveOverfilled()
 	if len(p.orders) == 0 && !slices.ContainsFunc(servers, func(s Server) bool { return s.Loading }) {
-		p.improve()
+		p.rebalance()
 	}
 	return p.orders
 }
 
-// initial is the whole layout while no server holds anything but its part of it.
-func initial(engine *routes.Engine, servers []Server) ([]Order, bool) {
-	orders := match(servers, Layout(engine, servers))
+// initialOrders returns the orders of the whole layout, as long as no server holds anything but
+// its part of it. The result is false otherwise.
+func initialOrders(engine *routes.Engine, servers []Server) ([]Order, bool) {
+	orders := reassign(servers, Layout(engine, servers))
 	ranges := make(map[string]api.Layers, len(orders))
 	for _, order := range orders {
 		ranges[order.Server] = order.Layers
@@ -75,40 +78,42 @@
 	}), true
 }
 
-// plan is one look at the servers of a data centre. Orders given count at once.
-type plan struct {
+// planner computes one plan for the servers of a data centre. Orders that it issues count as
+// carried out at once.
+type planner struct {
 	engine  *routes.Engine
 	servers []Server
 	orders  []Order
 }
 
-// anyTime counts every load as cover, however long it takes.
-const anyTime = time.Duration(math.MaxInt64)
+// anyWait makes every load count as cover, however long it takes.
+const anyWait = time.Duration(math.MaxInt64)
 
-// counts are the servers that hold each layer or will within a time. A lost one doesn't.
-func (p *plan) counts(within time.Duration) []int {
+// copyCounts returns, for each layer, the number of servers that hold it or will have loaded it
+// within the given time. Lost servers don't count.
+func (p *planner) copyCounts(within time.Duration) []int {
 	counts := make([]int, p.engine.Layers)
 	for _, s := range p.servers {
 		if s.Lost || s.Loading && s.Wait > within {
 			continue
 		}
-		count(counts, s.planned())
+		addCopies(counts, s.planned())
 	}
 	return counts
 }
 
-// give orders a range. The server counts as loading it.
-func (p *plan) give(at int, layers api.Layers) {
+// assign orders a server to hold a range. The server counts as loading it from now on.
+func (p *planner) assign(at int, layers api.Layers) {
 	p.orders = append(p.orders, Order{Server: p.servers[at].ID, Layers: layers})
 	s := &p.servers[at]
-	s.Wait = p.engine.LoadFor(fresh(s.Holds, layers))
+	s.Wait = p.engine.LoadFor(layersToLoad(s.Holds, layers))
 	s.Ordered, s.Loading = layers, true
 }
 
-// cover gives the layers that nobody holds to servers that can be had.
-func (p *plan) cover() {
+// coverMissing assigns the layers that nobody holds to servers that are available.
+func (p *planner) coverMissing() {
 	for range p.servers {
-		counts := p.counts(soon)
+		counts := p.copyCounts(shortLoad)
 		from := slices.Index(counts, 0)
 		if from < 0 {
 			return
@@ -117,75 +122,76 @@
 		for gap.To < len(counts) && counts[gap.To] == 0 {
 			gap.To++
 		}
-		at := p.spare(gap)
+		at := p.findSpare(gap)
 		if at < 0 {
 			return
 		}
-		gap.To = min(gap.To, gap.From+p.comfortable(p.servers[at].Card))
-		p.give(at, p.widen(at, gap))
+		gap.To = min(gap.To, gap.From+p.targetLayers(p.servers[at].Card))
+		p.assign(at, p.expand(at, gap))
 	}
 }
 
-// comfortable is how many layers a card holds with room for requests.
-func (p *plan) comfortable(card routes.Card) int {
-	return max(int(spare*float64(p.engine.Fits(card))), 1)
+// targetLayers returns how many layers a card should hold to leave enough memory for requests.
+func (p *planner) targetLayers(card routes.Card) int {
+	return max(int(fillExtra*float64(p.engine.Fits(card))), 1)
 }
 
-// spare finds the server that is best had for a gap: an empty one, the fastest of
-// them, else the one that is missed least where it is. -1 when there is none.
-func (p *plan) spare(gap api.Layers) int {
-	best, least := -1, math.Inf(1)
-	layers, counts := p.layers(), p.counts(soon)
+// findSpare returns the index of the best server to cover a gap: an empty one, preferring fast
+// ones, or else the one with the lowest removal cost. It returns -1 if there is none.
+func (p *planner) findSpare(gap api.Layers) int {
+	best, lowest := -1, math.Inf(1)
+	layers, counts := p.layerStates(), p.copyCounts(shortLoad)
 	for i, s := range p.servers {
-		missed, ok := p.missed(s, layers, counts)
+		cost, ok := p.removalCost(s, layers, counts)
 		if !ok || p.engine.Fits(s.Card) == 0 {
 			continue
 		}
 		if s.planned().Len() == 0 {
-			// All empty servers go before all others: the more of the gap and the faster,
-			// the better.
-			missed = -float64(min(gap.Len(), p.comfortable(s.Card))) / max(s.Card.Pace, 0.1)
+			// Empty servers get negative costs, so they come before all others; the more of the
+			// gap they cover and the faster they are, the lower.
+			cost = -float64(min(gap.Len(), p.targetLayers(s.Card))) / max(s.Card.Pace, 0.1)
 		}
-		if missed < least {
-			best, least = i, missed
+		if cost < lowest {
+			best, lowest = i, cost
 		}
 	}
 	return best
 }
 
-// missed is the greatest part that a server has in the strength of a layer. False
-// when it can't be had: it moves already, is lost, or holds a last copy.
-func (p *plan) missed(s Server, layers []layer, counts []int) (float64, bool) {
+// removalCost returns the largest share that a server has in the capacity of any of its layers,
+// plus a penalty for its utilization. The result is false if the server must not be moved: it is
+// loading, is lost, or holds the last copy of a layer.
+func (p *planner) removalCost(s Server, layers []layerState, counts []int) (float64, bool) {
 	if s.Lost || s.Loading {
 		return 0, false
 	}
-	part, each := 0.0, p.strength(s, s.Holds)
+	share, capacity := 0.0, p.capacity(s, s.Holds)
 	for at := max(s.Holds.From, 0); at < min(s.Holds.To, len(counts)); at++ {
 		if counts[at] < 2 {
 			return 0, false
 		}
-		if layers[at].strength > 0 {
-			part = max(part, each/layers[at].strength)
+		if layers[at].capacity > 0 {
+			share = max(share, capacity/layers[at].capacity)
 		}
 	}
-	return part + usedCost*s.Used, true
+	return share + utilizationPenalty*s.Used, true
 }
 
-// widen takes the weakest layers beside a gap in, as far as an empty server has
-// room: it will be of use beyond the gap. A server that others must do without
-// loads no more than the gap.
-func (p *plan) widen(at int, gap api.Layers) api.Layers {
+// expand extends a gap by the adjacent layers with the least capacity, up to what an empty
+// server should hold: that server stays useful beyond the gap. A server that is moved away from
+// other layers loads only the gap.
+func (p *planner) expand(at int, gap api.Layers) api.Layers {
 	s := p.servers[at]
-	longest := p.comfortable(s.Card)
-	if s.Holds.Len() > 0 || gap.Len() >= longest {
+	limit := p.targetLayers(s.Card)
+	if s.Holds.Len() > 0 || gap.Len() >= limit {
 		return gap
 	}
-	return p.weakest(longest, func(window api.Layers) bool { return window.From <= gap.From && window.To >= gap.To })
+	return p.weakestWindow(limit, func(window api.Layers) bool { return window.From <= gap.From && window.To >= gap.To })
 }
 
-// fillEmpty gives the empty servers that are left the weakest layers, the fastest
+// fillEmpty assigns the layers with the least capacity to the remaining empty servers, fastest
 // server first.
-func (p *plan) fillEmpty() {
+func (p *planner) fillEmpty() {
 	var empty []int
 	for i, s := range p.servers {
 		if !s.Lost && s.planned().Len() == 0 && p.engine.Fits(s.Card) > 0 {
@@ -194,51 +200,52 @@
 	}
 	slices.SortStableFunc(empty, func(a, b int) int { return cmp.Compare(p.servers[a].Card.Pace, p.servers[b].Card.Pace) })
 	for _, at := range empty {
-		p.give(at, p.weakest(p.comfortable(p.servers[at].Card), anyWindow))
+		p.assign(at, p.weakestWindow(p.targetLayers(p.servers[at].Card), anyWindow))
 	}
 }
 
-// relieve has crowded servers give up layers at one end that others hold too.
-func (p *plan) relieve() {
-	counts := p.counts(soon)
+// relieveOverfilled makes servers that hold too many layers drop some, at either end of their
+// range, that others hold too.
+func (p *planner) relieveOverfilled() {
+	counts := p.copyCounts(shortLoad)
 	for i, s := range p.servers {
 		held := s.Holds
-		longest := max(int(fillNext*float64(p.engine.Fits(s.Card))), 1)
-		if s.Lost || s.Loading || held.Len() <= longest {
+		limit := max(int(fillSecond*float64(p.engine.Fits(s.Card))), 1)
+		if s.Lost || s.Loading || held.Len() <= limit {
 			continue
 		}
-		for held.Len() > longest && counts[held.To-1] > 1 {
+		for held.Len() > limit && counts[held.To-1] > 1 {
 			held.To--
 		}
-		for held.Len() > longest && counts[held.From] > 1 {
+		for held.Len() > limit && counts[held.From] > 1 {
 			held.From++
 		}
 		if held != s.Holds {
-			giveUp(counts, s.Holds, held)
-			p.give(i, held)
+			removeDropped(counts, s.Holds, held)
+			p.assign(i, held)
 		}
 	}
 }
 
-// improve moves the server that is missed least to the weakest layers, when they
-// gain much by it.
-func (p *plan) improve() {
-	layers, counts := p.layers(), p.counts(soon)
-	at, least := -1, expendable
+// rebalance moves the server with the lowest removal cost to the layers with the least capacity,
+// if the gain is large enough.
+func (p *planner) rebalance() {
+	layers, counts := p.layerStates(), p.copyCounts(shortLoad)
+	at, lowest := -1, maxSpareShare
 	for i, s := range p.servers {
-		if part, ok := p.missed(s, layers, counts); ok && part < least {
-			at, least = i, part
+		if cost, ok := p.removalCost(s, layers, counts); ok && cost < lowest {
+			at, lowest = i, cost
 		}
 	}
 	if at < 0 {
 		return
 	}
 	s := p.servers[at]
-	window := p.weakest(p.comfortable(s.Card), anyWindow)
-	before := need(layers)
-	add(layers, s.Holds, layer{-p.strength(s, s.Holds), -1})
-	add(layers, window, layer{p.strength(s, window), 1})
-	if worthMove*need(layers) <= before {
-		p.give(at, window)
+	window := p.weakestWindow(p.targetLayers(s.Card), anyWindow)
+	before := deficit(layers)
+	addToLayers(layers, s.Holds, layerState{-p.capacity(s, s.Holds), -1})
+	addToLayers(layers, window, layerState{p.capacity(s, window), 1})
+	if minMoveGain*deficit(layers) <= before {
+		p.assign(at, window)
 	}
 }
--- a/internal/core/spread/quality_test.go
+++ b/internal/core/spread/quality_test.go
@@ -12,38 +12,40 @@
 	"oleandershunt.example/oleandershunt/internal/core/spread"
 )
 
-// stay is how long a usual request stays on the servers of a fast path, by streams
-// measured on a quiet day; its memory is taken so long.
-const stay = 1700 * time.Millisecond
+// residence is how long a typical request occupies memory on the servers of a fast copy, as
+// measured from streams under light load.
+const residence = 1700 * time.Millisecond
 
-// timed is the model with the times of its engine.
-func timed() *routes.Engine {
+// timedModel returns the model with the timings of its engine.
+func timedModel() *routes.Engine {
 	engine := model()
 	engine.Step, engine.ReadPerSecond = 1020*time.Microsecond, 105_000
 	engine.PerSequence, engine.PerContext = 7140*time.Nanosecond, 9560*time.Nanosecond
 	return engine
 }
 
-// work is the requests a second times layers that a server's processor does, its steps
-// shared by many requests.
-func work(engine *routes.Engine, card routes.Card) float64 {
-	read := float64(engine.Prompt) / engine.ReadPerSecond * card.Read
-	write := float64(engine.Answer) * (engine.StepFor(1) - engine.Step).Seconds() * card.Pace
-	return float64(engine.Layers) / (read + write)
+// computeRate returns the requests per second, times layers, that a server's processor can serve
+// when its steps are shared by many requests.
+func computeRate(engine *routes.Engine, card routes.Card) float64 {
+	prefill := float64(engine.Prompt) / engine.ReadPerSecond * card.Read
+	decode := float64(engine.Answer) * (engine.StepFor(1) - engine.Step).Seconds() * card.Pace
+	return float64(engine.Layers) / (prefill + decode)
 }
 
-// held is the requests a second times layers that so much memory bears.
-func held(engine *routes.Engine, room float64) float64 {
-	return room / engine.Usual() / stay.Seconds()
+// memoryRate returns the requests per second, times layers, that the given request memory can
+// serve.
+func memoryRate(engine *routes.Engine, tokens float64) float64 {
+	return tokens / engine.Usual() / residence.Seconds()
 }
 
-// rate is the most requests a second that a layout serves: a flow from servers, by what
-// they do and bear, to the layers that they hold, each of which every request needs.
-func rate(engine *routes.Engine, servers []spread.Server) float64 {
+// maxRate returns the highest number of requests per second that a layout serves. It is a
+// maximum flow from the servers, bounded by compute and memory, to the layers that they hold;
+// every request needs every layer.
+func maxRate(engine *routes.Engine, servers []spread.Server) float64 {
 	low, high := 0.0, 10_000.0
 	for range 40 {
 		middle := (low + high) / 2
-		if serves(engine, servers, middle) {
+		if canServe(engine, servers, middle) {
 			low = middle
 		} else {
 			high = middle
@@ -52,11 +54,11 @@
 	return low
 }
 
-func serves(engine *routes.Engine, servers []spread.Server, wanted float64) bool {
+func canServe(engine *routes.Engine, servers []spread.Server, wanted float64) bool {
 	source, sink := 0, 1+len(servers)+engine.Layers
 	network := flow.New(sink + 1)
 	for i, s := range servers {
-		network.AddArc(source, 1+i, min(work(engine, s.Card), held(engine, engine.Room(s.Card, s.Holds.Len()))))
+		network.AddArc(source, 1+i, min(computeRate(engine, s.Card), memoryRate(engine, engine.Room(s.Card, s.Holds.Len()))))
 		for layer := s.Holds.From; layer < s.Holds.To; layer++ {
 			network.AddArc(1+i, 1+len(servers)+layer, flow.Unlimited)
 		}
@@ -67,25 +69,25 @@
 	return network.Max(source, sink) >= wanted*float64(engine.Layers)*(1-1e-6)
 }
 
-// bound is above the rate of any layout: one copy of the layers lies where memory is not
-// what binds, and takes what binds only then.
-func bound(engine *routes.Engine, servers []spread.Server) float64 {
+// upperBound returns an upper bound on the rate of any layout: one copy of the layers is placed
+// where memory is not the bottleneck, and only the rest takes memory that is.
+func upperBound(engine *routes.Engine, servers []spread.Server) float64 {
 	sum, free := 0.0, 0.0
-	perLayer := held(engine, engine.Room(routes.Card{MB: 2 * engine.LayerMB}, 1))
+	perLayer := memoryRate(engine, engine.Room(routes.Card{MB: 2 * engine.LayerMB}, 1))
 	for _, s := range servers {
 		layers := s.Card.MB / engine.LayerMB
-		bears := layers * perLayer
-		does := work(engine, s.Card)
-		sum += min(does, bears)
-		free += max(bears-does, 0) / perLayer
+		memory := layers * perLayer
+		compute := computeRate(engine, s.Card)
+		sum += min(compute, memory)
+		free += max(memory-compute, 0) / perLayer
 	}
 	missing := max(float64(engine.Layers)-free, 0)
 	return (sum - missing*perLayer) / float64(engine.Layers)
 }
 
-// equal is the simplest plan: the servers of each kind that hold a copy in 0.8 of their
-// memory share the layers equally, as often as they can.
-func equal(engine *routes.Engine, servers []spread.Server) []spread.Server {
+// equalSplit returns the simplest layout: the servers of each kind that fit a copy in 0.8 of
+// their memory share the layers equally, as many times as possible.
+func equalSplit(engine *routes.Engine, servers []spread.Server) []spread.Server {
 	placed := append([]spread.Server(nil), servers...)
 	kinds := make(map[routes.Card][]int)
 	for i, s := range placed {
@@ -103,68 +105,69 @@
 	return placed
 }
 
-// places are data centres of unlike servers: a few of everything, two fast ones with few
-// others, and mostly slow ones.
-var places = map[string][]spread.Server{
+// dataCentres are example data centres of heterogeneous servers: a few of everything, two fast
+// servers with few others, and mostly slow ones.
+var dataCentres = map[string][]spread.Server{
 	"mixed": fleet(big, middle, middle, middle, middle, middle, middle, small, small, small, small, small),
 	"fast":  fleet(big, big, middle, middle, small, small, small, small, small),
 	"slow":  fleet(big, middle, middle, middle, small, small, small, small, small, small, small, small),
 }
 
-// BenchmarkQuality reports the requests a second that layouts serve, as shares of a bound
-// on any layout: this package's and the simplest plan's.
+// BenchmarkQuality reports the requests per second that the layouts of this package and of
+// equalSplit serve, as fractions of an upper bound for any layout.
 func BenchmarkQuality(b *testing.B) {
-	for name, servers := range places {
+	for name, servers := range dataCentres {
 		b.Run(name, func(b *testing.B) {
-			engine := timed()
+			engine := timedModel()
 			var placed []spread.Server
 			for b.Loop() {
 				placed = append([]spread.Server(nil), servers...)
 				apply(b, engine, placed, spread.Plan(engine, placed))
 			}
-			b.ReportMetric(rate(engine, placed)/bound(engine, servers), "of-bound")
-			b.ReportMetric(rate(engine, equal(engine, servers))/bound(engine, servers), "equal-of-bound")
-			b.ReportMetric(bound(engine, servers), "bound-req/s")
+			b.ReportMetric(maxRate(engine, placed)/upperBound(engine, servers), "of-bound")
+			b.ReportMetric(maxRate(engine, equalSplit(engine, servers))/upperBound(engine, servers), "equal-of-bound")
+			b.ReportMetric(upperBound(engine, servers), "bound-req/s")
 		})
 	}
 }
 
-// Symptom: a data centre serves less than the simplest plan would. Cause: a layout that
-// is made for speed or for copies alone.
-func TestALayoutServesMoreThanTheSimplestPlanAndLessThanTheBound(t *testing.T) {
+// Guards against layouts that optimize only for speed or only for the number of copies and serve
+// less than the simplest plan.
+func TestLayoutRateIsBetweenEqualSplitAndUpperBound(t *testing.T) {
 	g := NewWithT(t)
-	engine := timed()
-	for name, servers := range places {
+	engine := timedModel()
+	for name, servers := range dataCentres {
 		placed := append([]spread.Server(nil), servers...)
 		apply(t, engine, placed, spread.Plan(engine, placed))
-		g.Expect(rate(engine, placed)).To(BeNumerically(">", rate(engine, equal(engine, servers))), name)
-		g.Expect(rate(engine, placed)).To(BeNumerically("<=", bound(engine, servers)), name)
+		g.Expect(maxRate(engine, placed)).To(BeNumerically(">", maxRate(engine, equalSplit(engine, servers))), name)
+		g.Expect(maxRate(engine, placed)).To(BeNumerically("<=", upperBound(engine, servers)), name)
 	}
 }
 
-// BenchmarkSmallExact compares with every layout of three servers and six layers.
+// BenchmarkSmallExact compares the planned layout with the best of all layouts of three servers
+// and six layers.
 func BenchmarkSmallExact(b *testing.B) {
-	engine := timed()
+	engine := timedModel()
 	engine.Layers, engine.LayerMB, engine.TokenBytes = 6, 14_000, 918_000/13
 	servers := fleet(big, middle, middle)
 	best := 0.0
 	for b.Loop() {
-		best = exact(engine, append([]spread.Server(nil), servers...), 0)
+		best = bestRate(engine, append([]spread.Server(nil), servers...), 0)
 	}
 	placed := append([]spread.Server(nil), servers...)
 	apply(b, engine, placed, spread.Plan(engine, placed))
-	b.ReportMetric(rate(engine, placed)/best, "of-best")
+	b.ReportMetric(maxRate(engine, placed)/best, "of-best")
 }
 
-func exact(engine *routes.Engine, servers []spread.Server, at int) float64 {
+func bestRate(engine *routes.Engine, servers []spread.Server, at int) float64 {
 	if at == len(servers) {
-		return rate(engine, servers)
+		return maxRate(engine, servers)
 	}
 	best := 0.0
 	for from := 0; from < engine.Layers; from++ {
 		for to := from; to <= min(engine.Layers, from+engine.Fits(servers[at].Card)); to++ {
 			servers[at].Holds = api.Layers{From: from, To: to}
-			best = max(best, exact(engine, servers, at+1))
+			best = max(best, bestRate(engine, servers, at+1))
 		}
 	}
 	return best
--- a/internal/core/spread/spread.go
+++ b/internal/core/spread/spread.go
@@ -1,10 +1,10 @@
-// Package spread chooses which backend server of a data centre holds which
-// layers of a model. Servers differ in memory and pace; what layers leave of the
-// memory holds requests, so a server filled with layers serves few.
+// Package spread decides which backend server of a data centre holds which layers of a model.
+// Servers differ in memory and speed; memory that is not taken by layers holds requests, so a
+// server filled with layers serves few requests.
 //
-// The layout is made of copies: each copy's servers share the layers in
-// proportion to their memory, so that no server of it runs out of room for
-// requests before the others. It does no I/O and reads no clock.
+// A layout consists of copies of the model. The servers of a copy share the layers in proportion
+// to their memory, so that none of them runs out of memory for requests before the others. The
+// package does no I/O and reads no clock.
 package spread
 
 import (
@@ -20,27 +20,28 @@
 type Server struct {
 	ID   string
 	Card routes.Card
-	// Slots is how many requests it works on at once of those that begin at it. 0 is any
-	// number.
+	// Slots is the number of concurrent requests for which the server can be the first server; 0
+	// means no limit.
 	Slots int
-	// Holds is the range held, by the server's own word.
+	// Holds is the range of layers that the server reports to hold.
 	Holds api.Layers
-	// Ordered is the range that it was told to hold, while that is Loading.
+	// Ordered is the range that the server was ordered to hold, valid while Loading.
 	Ordered api.Layers
 	Loading bool
-	// Wait is how long the load still takes, while that is Loading.
+	// Wait is the remaining time of the load, valid while Loading.
 	Wait time.Duration
-	// Used is the part of the room for requests that is taken.
+	// Used is the utilization of the memory for requests, from 0 to 1.
 	Used float64
-	// Pace is how many times as long as usual the server takes now. 0 is not known.
+	// Pace is the current slowdown: by what factor the server takes longer than usual. 0 means
+	// unknown.
 	Pace float64
-	// Lost says that the server went a moment ago and may be back soon. The layout
-	// keeps its place, but nobody can use what it held.
+	// Lost is set while a server that has just disappeared may still return. The layout keeps
+	// its place, but requests can't use its layers.
 	Lost bool
 }
 
-// usable is the range that requests may use: of what is given up nothing, and of
-// what is being loaded nothing yet.
+// usable returns the range that requests may use. Layers that are being dropped or loaded are
+// excluded.
 func (s Server) usable() api.Layers {
 	switch {
 	case s.Lost:
@@ -52,7 +53,7 @@
 	}
 }
 
-// planned is the range that the server has or will have.
+// planned returns the range that the server holds, or will hold once its load is done.
 func (s Server) planned() api.Layers {
 	if s.Loading {
 		return s.Ordered
@@ -60,45 +61,45 @@
 	return s.Holds
 }
 
-// Order tells a server which range to hold.
+// Order is an instruction to a server to hold a range of layers.
 type Order struct {
 	Server string
 	Layers api.Layers
 }
 
-// The figures of the layout.
+// Parameters of the layout. The fill values are fractions of a server's memory that layers may
+// take.
 const (
-	// fillFirst is the part of the memory that layers take on the servers of the
-	// first copy, the fastest ones. The rest is for requests.
+	// fillFirst applies to the servers of the first copy, the fastest ones. The rest of their
+	// memory is for requests.
 	fillFirst = 0.72
-	// roomy is the part down to which a copy is widened by more servers of its slowest
-	// kind.
-	roomy = 0.5
-	// fillNext is the same for the second copy, which takes what the first can't.
-	fillNext = 0.85
-	// fillMore is the same for more copies than two: from there on room for requests is
-	// worth more than a copy.
-	fillMore = 0.70
-	// spare is the part of its memory that a server fills which adds to a layout.
-	spare = 0.72
-	// grown is the part that a server may fill on its way from one range to another.
-	// Memory taken comes back only when every request that passes the layers given
-	// up has ended, and all others on a path wait for the server with least room.
-	grown = 0.85
-	// crowded is the part that a server may fill to hold layers that nobody holds.
-	crowded = 0.96
+	// fillWide is the fill above which a copy is widened by more servers of its slowest kind.
+	fillWide = 0.5
+	// fillSecond applies to the second copy, which serves what the first one can't.
+	fillSecond = 0.85
+	// fillFurther applies to all further copies: from the third one on, memory for requests is
+	// worth more than another copy.
+	fillFurther = 0.70
+	// fillExtra applies to a server that is added to an existing layout.
+	fillExtra = 0.72
+	// fillTransition applies to a server that temporarily holds both its old and its new range.
+	// Memory of dropped layers is released only when every request that uses them has ended, and
+	// all other servers of a copy wait for the one with the least memory.
+	fillTransition = 0.85
+	// fillUncovered applies to a server that takes layers nobody else holds.
+	fillUncovered = 0.96
 )
 
-// The worth of one more copy of a layer, by how many there are, and the cost of
-// a layer more on a server.
-var worthOfCopy = []float64{100, 10, 1}
+// copyValue is the value of one more copy of a layer, by the number of existing copies;
+// layerCost is the cost of holding one more layer on a server.
+var copyValue = []float64{100, 10, 1}
 
 const layerCost = 1.5
 
-// Layout lays the layers out over servers that hold nothing that must be kept.
-// The fastest servers make up the first copy: a token then passes few servers,
-// and none that takes several times as long. The others make further copies,
-// and what is left over holds the layers with the fewest.
+// Layout distributes the layers over servers, regardless of what they hold now. The fastest
+// servers make up the first copy, so that a token passes few servers and none that takes several
+// times as long. The others make up further copies, and the servers left over hold the layers
+// with the fewest copies.
 func Layout(engine *routes.Engine, servers []Server) []Order {
 	rest := slices.Clone(servers)
 	slices.SortFunc(rest, func(a, b Server) int {
@@ -109,24 +110,24 @@
 		placed[i] = Server{ID: s.ID, Card: s.Card, Holds: s.planned()}
 	}
 	var orders []Order
-	for fill, next := fillFirst, fillNext; ; fill, next = next, fillMore {
-		lane := lane(engine, rest, fill, next)
-		if lane == 0 && len(orders) == 0 && total(engine, rest) >= engine.Layers {
-			lane = len(rest)
+	for fill, next := fillFirst, fillSecond; ; fill, next = next, fillFurther {
+		size := copySize(engine, rest, fill, next)
+		if size == 0 && len(orders) == 0 && totalFits(engine, rest) >= engine.Layers {
+			size = len(rest)
 		}
-		if lane == 0 {
+		if size == 0 {
 			return append(orders, fillEmpty(engine, placed)...)
 		}
-		for _, order := range share(engine, rest[:lane]) {
+		for _, order := range divideLayers(engine, rest[:size]) {
 			orders = append(orders, order)
 			at := slices.IndexFunc(placed, func(s Server) bool { return s.ID == order.Server })
 			placed[at].Holds = order.Layers
 		}
-		rest = rest[lane:]
+		rest = rest[size:]
 	}
 }
 
-func total(engine *routes.Engine, servers []Server) int {
+func totalFits(engine *routes.Engine, servers []Server) int {
 	sum := 0
 	for _, s := range servers {
 		sum += engine.Fits(s.Card)
@@ -134,29 +135,30 @@
 	return sum
 }
 
-// lane counts the servers, from the first on, that hold a whole copy in a part of
-// their memory. 0 when all of them don't. next is the part for the copy after it.
-func lane(engine *routes.Engine, servers []Server, fill, next float64) int {
+// copySize returns how many of the servers, counted from the first, are needed to hold a whole
+// copy within the given fill, or 0 if all of them don't suffice. next is the fill of the
+// following copy.
+func copySize(engine *routes.Engine, servers []Server, fill, next float64) int {
 	for n := range servers {
-		if fill*float64(total(engine, servers[:n+1])) >= float64(engine.Layers) {
+		if fill*float64(totalFits(engine, servers[:n+1])) >= float64(engine.Layers) {
 			return widen(engine, servers, n+1, next)
 		}
 	}
 	return 0
 }
 
-// widen counts the servers of a copy that takes in more of its slowest kind: they
-// add room for requests and cost a token no more than a change of servers each. It
-// leaves what another copy needs.
+// widen returns the number of servers of a copy after adding more servers of its slowest kind.
+// They add memory for requests and cost a token no more than one extra hop each. Enough servers
+// are left for another copy.
 //
-// What can go wrong: requests take little memory, and a copy is widened to have room for
-// more of them than its first server has slots. The room is never used, while each token
-// passes more servers, and more layers lie on slow ones. One notices streams that are slow
-// on a quiet day, and servers that use little of their memory.
+// A copy is not widened beyond the number of requests that its first server has slots for. If
+// requests take little memory, the additional memory would never be used, while each token
+// passes more servers and more layers are on slow ones. The symptoms are slow streams under
+// light load and servers that use little of their memory.
 func widen(engine *routes.Engine, servers []Server, n int, next float64) int {
-	another := next*float64(total(engine, servers[n:])) >= float64(engine.Layers)
-	for n < len(servers) && servers[n].Card == servers[n-1].Card && narrow(engine, servers[:n]) {
-		if another && next*float64(total(engine, servers[n+1:])) < float64(engine.Layers) {
+	another := next*float64(totalFits(engine, servers[n:])) >= float64(engine.Layers)
+	for n < len(servers) && servers[n].Card == servers[n-1].Card && needsMoreRoom(engine, servers[:n]) {
+		if another && next*float64(totalFits(engine, servers[n+1:])) < float64(engine.Layers) {
 			break
 		}
 		n++
@@ -164,25 +166,26 @@
 	return n
 }
 
-// narrow tells whether a copy may use more room for requests: less than what its first
-// server has slots for.
-func narrow(engine *routes.Engine, lane []Server) bool {
-	fill := float64(engine.Layers) / float64(total(engine, lane))
-	if fill <= roomy {
+// needsMoreRoom reports whether a copy can make use of more memory for requests: it is filled
+// above fillWide and fits fewer requests than its first server has slots for.
+func needsMoreRoom(engine *routes.Engine, members []Server) bool {
+	fill := float64(engine.Layers) / float64(totalFits(engine, members))
+	if fill <= fillWide {
 		return false
 	}
-	return lane[0].Slots == 0 || engine.RoomAt(fill) < float64(lane[0].Slots)*engine.Usual()
+	return members[0].Slots == 0 || engine.RoomAt(fill) < float64(members[0].Slots)*engine.Usual()
 }
 
-// share gives each server of a copy its part, in proportion to its memory.
-func share(engine *routes.Engine, lane []Server) []Order {
-	total := total(engine, lane)
+// divideLayers divides the layers among the servers of a copy in proportion to their memory.
+func divideLayers(engine *routes.Engine, members []Server) []Order {
+	total := totalFits(engine, members)
 	var orders []Order
-	at, seen := 0, 0
-	for _, s := range lane {
-		seen += engine.Fits(s.Card)
-		// Rounding the running sum leaves no gap and never more than a layer too many.
-		to := min((seen*engine.Layers+total/2)/total, at+engine.Fits(s.Card))
+	at, fits := 0, 0
+	for _, s := range members {
+		fits += engine.Fits(s.Card)
+		// Rounding the running sum leaves no gaps and gives no server more than one layer too
+		// many.
+		to := min((fits*engine.Layers+total/2)/total, at+engine.Fits(s.Card))
 		if to > at {
 			orders = append(orders, Order{Server: s.ID, Layers: api.Layers{From: at, To: to}})
 			at = to
@@ -191,16 +194,16 @@
 	return orders
 }
 
-// Copies counts the servers that requests can use for each layer.
+// Copies returns, for each layer, the number of servers whose copy requests can use.
 func Copies(engine *routes.Engine, servers []Server) []int {
 	counts := make([]int, engine.Layers)
 	for _, s := range servers {
-		count(counts, s.usable())
+		addCopies(counts, s.usable())
 	}
 	return counts
 }
 
-// fillEmpty gives each empty server the range that is worth most.
+// fillEmpty assigns to each empty server the range with the highest value.
 func fillEmpty(engine *routes.Engine, servers []Server) []Order {
 	now := slices.Clone(servers)
 	var orders []Order
@@ -215,39 +218,39 @@
 	return orders
 }
 
-// bestWindow is the range that is worth most to a server which fits so many
-// layers. Where every layer has copies enough, it is the one with the fewest. A
-// server is filled only for layers that nobody holds.
+// bestWindow returns the range with the highest value for a server that fits the given number of
+// layers. If every layer has enough copies, it is the range with the fewest. A server is filled
+// to fillUncovered only if some layer has no copy.
 func bestWindow(counts []int, fits int) api.Layers {
-	longest := max(int(spare*float64(fits)), 1)
+	limit := max(int(fillExtra*float64(fits)), 1)
 	if slices.Contains(counts, 0) {
-		longest = max(int(crowded*float64(fits)), 1)
+		limit = max(int(fillUncovered*float64(fits)), 1)
 	}
 	var best api.Layers
-	worth := 0.0
+	bestValue := 0.0
 	for from := range counts {
 		sum := 0.0
-		for to := from + 1; to <= min(from+longest, len(counts)); to++ {
+		for to := from + 1; to <= min(from+limit, len(counts)); to++ {
 			sum += value(counts[to-1]) - layerCost
-			if sum > worth {
-				worth, best = sum, api.Layers{From: from, To: to}
+			if sum > bestValue {
+				bestValue, best = sum, api.Layers{From: from, To: to}
 			}
 		}
 	}
-	if worth > 0 {
+	if bestValue > 0 {
 		return best
 	}
-	return fewestCopies(counts, longest)
+	return fewestCopiesWindow(counts, limit)
 }
 
 func value(count int) float64 {
-	if count < len(worthOfCopy) {
-		return worthOfCopy[count]
+	if count < len(copyValue) {
+		return copyValue[count]
 	}
 	return 0
 }
 
-func fewestCopies(counts []int, length int) api.Layers {
+func fewestCopiesWindow(counts []int, length int) api.Layers {
 	length = min(length, len(counts))
 	best, least := 0, -1
 	for from := 0; from+length <= len(counts); from++ {
--- a/internal/core/spread/spread_test.go
+++ b/internal/core/spread/spread_test.go
@@ -32,7 +32,7 @@
 	return servers
 }
 
-// apply carries orders out and fails on one that a server can't bear.
+// apply carries out orders and fails if one exceeds what its server or the model has.
 func apply(t rapid.TB, engine *routes.Engine, servers []spread.Server, orders []spread.Order) {
 	for _, order := range orders {
 		for i := range servers {
@@ -47,33 +47,32 @@
 	}
 }
 
-func Copies(servers []spread.Server) int { return slices.Min(holders(servers)) }
+func minCopies(servers []spread.Server) int { return slices.Min(holders(servers)) }
 
-func TestTwoCopiesWhereTheMemorySuffices(t *testing.T) {
+func TestLayoutMakesTwoCopiesIfMemorySuffices(t *testing.T) {
 	g := NewWithT(t)
 	servers := fleet(big, middle, middle, middle, middle, middle, middle, small, small, small, small, small)
 	apply(t, model(), servers, spread.Layout(model(), servers))
-	g.Expect(Copies(servers)).To(Equal(2))
+	g.Expect(minCopies(servers)).To(Equal(2))
 }
 
-// Symptom: a data centre that lost a server for good serves half of what it
-// could. Sequence: the range of a fast server has one copy left, a slow one. Cause:
-// nobody copies it.
-func TestALostRangeIsCopiedAgain(t *testing.T) {
+// Guards against a range that stays at one slow copy after its fast server is lost for good,
+// which halves the throughput of the data centre.
+func TestPlanRestoresSecondCopyAfterServerLoss(t *testing.T) {
 	g := NewWithT(t)
 	for lost := 1; lost <= 4; lost++ {
 		servers := fleet(big, middle, middle, middle, middle, middle, middle, small, small, small, small, small)
 		apply(t, model(), servers, spread.Layout(model(), servers))
-		hole := servers[lost].Holds
+		gap := servers[lost].Holds
 		servers = slices.Delete(servers, lost, lost+1)
 		for range 10 {
 			apply(t, model(), servers, spread.Plan(model(), servers))
 		}
-		g.Expect(slices.Min(holders(servers)[hole.From:hole.To])).To(BeNumerically(">=", 2), hole.String())
+		g.Expect(slices.Min(holders(servers)[gap.From:gap.To])).To(BeNumerically(">=", 2), gap.String())
 	}
 }
 
-// holders counts the servers that hold each layer.
+// holders returns the number of servers that hold each layer.
 func holders(servers []spread.Server) []int {
 	counts := make([]int, model().Layers)
 	for _, s := range servers {
@@ -84,9 +83,8 @@
 	return counts
 }
 
-// Symptom: a server that crashed comes back and does nothing. Cause: it starts
-// empty, and no order is given.
-func TestAnEmptyServerTakesWhatIsMissing(t *testing.T) {
+// Guards against a server that restarts empty after a crash and gets no order.
+func TestEmptyServerTakesMissingLayers(t *testing.T) {
 	g := NewWithT(t)
 	servers := fleet(big, middle, middle, middle, middle, middle, middle, small, small, small, small, small)
 	apply(t, model(), servers, spread.Layout(model(), servers))
@@ -95,10 +93,9 @@
 	g.Expect(spread.Plan(model(), servers)).To(Equal([]spread.Order{{Server: "s03", Layers: lost}}))
 }
 
-// Symptom: a data centre that works is out of order for seconds because a server
-// came or went. Sequence: one server is lost for good, two others join. Cause: all
-// servers move to a new layout of the whole.
-func TestServersOfUseStayWhereTheyAre(t *testing.T) {
+// Guards against moving all servers to a new layout when one server is lost and two others join,
+// which makes a working data centre unavailable for seconds.
+func TestUsefulServersKeepTheirLayers(t *testing.T) {
 	g := NewWithT(t)
 	engine := model()
 	servers := fleet(big, big, middle, middle, small, small, small, small, small)
@@ -106,21 +103,21 @@
 	lost := servers[3].Holds
 	servers = slices.Delete(servers, 3, 4)
 	orders := spread.Plan(engine, servers)
-	g.Expect(orders).To(HaveLen(2), "two small servers that can be spared take what was lost")
+	g.Expect(orders).To(HaveLen(2), "two small spare servers take the lost layers")
 	apply(t, engine, servers, orders)
-	g.Expect(Copies(servers)).To(BeNumerically(">=", 1))
+	g.Expect(minCopies(servers)).To(BeNumerically(">=", 1))
 	before := slices.Clone(servers)
 	servers = append(servers, spread.Server{ID: "t1", Card: middle}, spread.Server{ID: "t2", Card: small})
 	orders = spread.Plan(engine, servers)
 	apply(t, engine, servers, orders)
 	g.Expect(servers[:len(before)]).To(Equal(before))
-	g.Expect(servers[len(before)].Holds.Overlap(lost).Len()).To(BeNumerically(">", lost.Len()/2), "the fast newcomer strengthens what slow ones hold")
+	g.Expect(servers[len(before)].Holds.Overlap(lost).Len()).To(BeNumerically(">", lost.Len()/2), "the new fast server adds capacity to layers held by slow ones")
 }
 
-// Symptom: when one data centre is out of order, the others refuse for want of room.
-// Sequence: their fast copies take the load of three. Cause: a copy is made of as few
-// servers as hold it, and the rest, of the same kind, makes slow copies.
-func TestTheFastCopyTakesInServersOfItsKind(t *testing.T) {
+// Guards against a fast copy of as few servers as possible while the other servers of the same
+// kind make up slow copies: when one data centre is unavailable, the fast copies of the others
+// take three times the load and reject requests for lack of memory.
+func TestFastCopyIsWidenedByServersOfSameKind(t *testing.T) {
 	g := NewWithT(t)
 	engine := model()
 	servers := fleet(big, middle, middle, middle, middle, middle, middle, small, small, small, small, small)
@@ -129,38 +126,38 @@
 		tokens := engine.Room(s.Card, s.Holds.Len()) / float64(s.Holds.Len())
 		g.Expect(tokens).To(BeNumerically(">", 100_000), s.ID)
 	}
-	g.Expect(Copies(servers)).To(Equal(2))
+	g.Expect(minCopies(servers)).To(Equal(2))
 }
 
-// Symptom: a data centre does nothing for seconds while a server loads. Sequence:
-// the only holder of its last layers leaves as its successor registers,
-// empty. Cause: what is being loaded counts as held.
-func TestSpareServersStandInForALongLoad(t *testing.T) {
+// Guards against counting layers that are still being loaded as held: the only holder of a range
+// leaves as its empty replacement registers, and nothing is served during the replacement's
+// load.
+func TestSpareServersCoverALongLoad(t *testing.T) {
 	g := NewWithT(t)
 	engine := model()
 	engine.LoadTime = 14 * time.Second
 	servers := fleet(big, big, middle, middle, small, small, small, small, small)
 	apply(t, engine, servers, spread.Plan(engine, servers))
-	hole := servers[3].Holds
+	gap := servers[3].Holds
 	servers[3] = spread.Server{ID: "t0", Card: middle}
 	orders := spread.Plan(engine, servers)
 	var covered []bool
-	for layer := hole.From; layer < hole.To; layer++ {
+	for layer := gap.From; layer < gap.To; layer++ {
 		covered = append(covered, slices.ContainsFunc(orders, func(o spread.Order) bool {
 			return o.Server != "t0" && layer >= o.Layers.From && layer < o.Layers.To
 		}))
 	}
 	g.Expect(orders).To(ContainElement(HaveField("Server", "t0")))
 	g.Expect(covered).NotTo(ContainElement(false))
-	// Once the load is nearly over nobody else is moved for it.
-	servers[3].Ordered, servers[3].Loading, servers[3].Wait = hole, true, time.Second
+	// When the load is nearly done, no other server is moved for it.
+	servers[3].Ordered, servers[3].Loading, servers[3].Wait = gap, true, time.Second
 	g.Expect(spread.Plan(engine, servers)).To(BeEmpty())
 }
 
-// Symptom: all servers of a data centre move while one loads what is missing. Sequence:
-// a big server leaves and its successor loads for seconds; too few can be spared to
-// stand in for all of it. Cause: the rest of the gap is taken for one that nobody fills.
-func TestALongLoadMovesNobodyOfUse(t *testing.T) {
+// Guards against moving all servers while one is loading the missing layers. A big server
+// leaves, its replacement loads for seconds, and there are too few spare servers to cover the
+// whole gap; the rest of the gap must not count as unassigned.
+func TestLongLoadMovesNoUsefulServer(t *testing.T) {
 	g := NewWithT(t)
 	engine := model()
 	engine.LoadTime = 14 * time.Second
@@ -170,14 +167,14 @@
 	}
 	servers[0].Ordered, servers[0].Loading, servers[0].Wait = api.Layers{From: 0, To: 29}, true, 4*time.Second
 	for _, order := range spread.Plan(engine, servers) {
-		g.Expect(order.Server).To(Equal("s04"), "the small one only may be moved")
+		g.Expect(order.Server).To(Equal("s04"), "only the small server may be moved")
 	}
 }
 
-// Symptom: half of a data centre's throughput is gone for good while slow servers
-// idle. Sequence: a server of the fast copy is lost for good; the slow copy still
-// has its layers. Cause: what is covered isn't looked at.
-func TestASpareServerHelpsTheWeakestLayers(t *testing.T) {
+// Guards against ignoring layers that are covered but have little capacity: a server of the fast
+// copy is lost for good, the slow copy still covers its layers, and half of the throughput is
+// lost while slow servers idle.
+func TestSpareServerMovesToLayersWithLeastCapacity(t *testing.T) {
 	g := NewWithT(t)
 	engine := model()
 	servers := fleet(big, middle, middle, middle, middle, middle, middle, small, small, small, small, small)
@@ -190,14 +187,13 @@
 		moved += len(orders)
 		apply(t, engine, servers, orders)
 	}
-	g.Expect(moved).To(And(BeNumerically(">=", 1), BeNumerically("<=", 4)), "it comes to rest")
+	g.Expect(moved).To(And(BeNumerically(">=", 1), BeNumerically("<=", 4)), "the layout becomes stable")
 	g.Expect(slices.Min(holders(servers)[lost.From:lost.To])).To(BeNumerically(">=", 2))
 }
 
-// Symptom: a layer is held nowhere though every server did as it was told.
-// Sequence: servers are lost and come back in any order. Cause: an order that
-// takes the last copy away, or one above a server's memory.
-func TestRepairsNeverUncoverAndCoverAgain(t *testing.T) {
+// Guards against orders that remove the last copy of a layer or exceed a server's memory, with
+// servers that crash and return in any order.
+func TestRepairsKeepLayersCovered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engine := model()
 		kinds := []routes.Card{big, middle, small}
@@ -207,10 +203,10 @@
 		}
 		servers := fleet(cards...)
 		for range 12 {
-			before := Copies(servers)
+			before := minCopies(servers)
 			apply(t, engine, servers, spread.Plan(engine, servers))
-			if before > 0 && Copies(servers) == 0 {
-				t.Fatalf("a repair took the last copy of a layer: %v", servers)
+			if before > 0 && minCopies(servers) == 0 {
+				t.Fatalf("a repair removed the last copy of a layer: %v", servers)
 			}
 			if rapid.Bool().Draw(t, "crash") {
 				servers[rapid.IntRange(0, len(servers)-1).Draw(t, "which")].Holds = api.Layers{}
@@ -221,21 +217,20 @@
 			apply(t, engine, servers, spread.Plan(engine, servers))
 		}
 		if orders := spread.Plan(engine, servers); len(orders) > 0 {
-			t.Fatalf("servers don't come to rest: %v of %v", orders, servers)
+			t.Fatalf("the layout does not become stable: orders %v for servers %v", orders, servers)
 		}
 		for _, s := range servers {
 			total += engine.Fits(s.Card)
 		}
-		if total*3/5 >= engine.Layers && Copies(servers) == 0 {
-			t.Fatalf("layers stay uncovered: %v", servers)
+		if total*3/5 >= engine.Layers && minCopies(servers) == 0 {
+			t.Fatalf("layers remain uncovered: %v", servers)
 		}
 	})
 }
 
-// Symptom: a data centre with memory enough serves nothing for good. Sequence:
-// several servers are lost at once; what is left holds single copies, and each
-// server would have to give one up. Cause: each waits for another to move first.
-func TestServersThatWaitForOneAnotherMoveAllTheSame(t *testing.T) {
+// Guards against a deadlock: after several servers are lost at once, the remaining ones hold
+// single copies, and each waits for another to take over its layers before it moves.
+func TestPlanResolvesDeadlockOfSingleCopies(t *testing.T) {
 	g := NewWithT(t)
 	servers := fleet(middle, middle, middle, middle, middle)
 	for i, held := range []api.Layers{{From: 0, To: 23}, {From: 0, To: 23}, {From: 20, To: 43}, {From: 40, To: 63}, {From: 41, To: 63}} {
@@ -244,16 +239,16 @@
 	for range 5 {
 		apply(t, model(), servers, spread.Plan(model(), servers))
 	}
-	g.Expect(Copies(servers)).To(BeNumerically(">=", 1))
+	g.Expect(minCopies(servers)).To(BeNumerically(">=", 1))
 }
 
-// lean is a model whose requests take little memory beside its layers.
-func lean() *routes.Engine {
+// smallRequestModel returns a model whose requests take little memory compared to its layers.
+func smallRequestModel() *routes.Engine {
 	return &routes.Engine{Layers: 80, LayerMB: 1750, TokenBytes: 360_000, Prompt: 780, Answer: 138}
 }
 
-// leanFleet is a data centre of four fast, nine middle and fourteen small cards.
-func leanFleet() []spread.Server {
+// smallRequestFleet returns a data centre of four fast, nine medium and fourteen small cards.
+func smallRequestFleet() []spread.Server {
 	fast, middle, small := routes.Card{MB: 36_000, Pace: 3.1, Read: 3.2}, routes.Card{MB: 21_600, Pace: 16, Read: 8.2}, routes.Card{MB: 14_400, Pace: 15, Read: 15}
 	var cards []routes.Card
 	cards = append(cards, slices.Repeat([]routes.Card{fast}, 4)...)
@@ -266,36 +261,35 @@
 	return servers
 }
 
-// Symptom: streams are slow on a quiet day, and servers use little of their memory. Sequence:
-// requests take little memory; a copy is widened all the same, until its servers have room for
-// three times as many requests as its first one has slots. Cause: the part of the memory that
-// layers may take was a constant, whatever requests take and however many can begin.
-func TestACopyIsNoWiderThanItsFirstServerHasSlots(t *testing.T) {
+// Guards against widening a copy regardless of slots: if requests take little memory, servers
+// get memory for three times as many requests as the first one has slots. Streams are slow under
+// light load, and servers use little of their memory.
+func TestCopyWidthIsLimitedBySlotsOfFirstServer(t *testing.T) {
 	g := NewWithT(t)
-	engine, servers := lean(), leanFleet()
+	engine, servers := smallRequestModel(), smallRequestFleet()
 	apply(t, engine, servers, spread.Layout(engine, servers))
 	first := servers[0]
 	g.Expect(first.Holds.From).To(BeZero())
 	room := engine.Room(first.Card, first.Holds.Len()) / float64(first.Holds.Len()) / engine.Usual()
-	t.Logf("the first server of the fast copy has %v and room for %.0f requests", first.Holds, room)
+	t.Logf("the first server of the fast copy holds %v and has memory for %.0f requests", first.Holds, room)
 	g.Expect(room).To(BeNumerically(">", 192))
 	g.Expect(room).To(BeNumerically("<", 1.5*192))
-	heads := 0
+	firstServers := 0
 	for _, s := range servers {
 		if s.Holds.From == 0 && s.Holds.Len() > 0 {
-			heads++
+			firstServers++
 		}
 	}
-	g.Expect(heads).To(BeNumerically(">=", 3), "servers that can be first")
+	g.Expect(firstServers).To(BeNumerically(">=", 3), "servers that hold the first layer")
 }
 
-// Symptom: first events are late in a data centre that has spare servers. Sequence: its only
-// server with the first layers has fewer slots than memory; a server comes that holds nothing.
-// Cause: the first layer looks as strong as the others, by memory.
-func TestAnEmptyServerGoesWhereRequestsBeginIfSlotsAreShort(t *testing.T) {
+// Guards against ignoring slots at the first layer: the only server with the first layers has
+// fewer slots than memory for requests, and a new empty server is not placed there because by
+// memory the first layer has as much capacity as the others. Requests start late.
+func TestEmptyServerTakesFirstLayersIfSlotsAreShort(t *testing.T) {
 	g := NewWithT(t)
-	engine := lean()
-	for slots, begins := range map[int]bool{64: true, 1000: false} {
+	engine := smallRequestModel()
+	for slots, first := range map[int]bool{64: true, 1000: false} {
 		servers := fleet(big, big, big, small)
 		for i, holds := range []api.Layers{{From: 0, To: 26}, {From: 26, To: 54}, {From: 54, To: 80}} {
 			servers[i].Holds, servers[i].Slots = holds, slots
@@ -303,6 +297,6 @@
 		servers[3].Slots = slots
 		orders := spread.Plan(engine, servers)
 		g.Expect(orders).To(HaveLen(1))
-		g.Expect(orders[0].Layers.From == 0).To(Equal(begins), "with %d slots: %v", slots, orders[0].Layers)
+		g.Expect(orders[0].Layers.From == 0).To(Equal(first), "with %d slots: %v", slots, orders[0].Layers)
 	}
 }
