--- a/internal/core/ratelimit/words_test.go
+++ b/internal/core/ratelimit/reports_test.go
@@ -10,13 +10,14 @@
 	"oleandershunt.example/oleandershunt/internal/core/ratelimit"
 )
 
-// Guards against: an answer made before a limit began ends it.
-func TestALimitEndsWithAnAnswerToALaterRequest(t *testing.T) {
+// Guards against ending a limit because of an answer that the server made before the limit
+// began.
+func TestLimitEndsWithAnswerToLaterRequest(t *testing.T) {
 	g := NewWithT(t)
 	l := ratelimit.New()
 	g.Expect(l.Said(1*time.Second, 0, "s1", "a", ratelimit.Unlimited)).To(BeFalse())
 	g.Expect(l.Said(2*time.Second, 1*time.Second, "s1", "a", 6.5)).To(BeTrue())
-	g.Expect(l.Said(3*time.Second, 2*time.Second, "s1", "a", 6.5)).To(BeFalse(), "the same rate is no news")
+	g.Expect(l.Said(3*time.Second, 2*time.Second, "s1", "a", 6.5)).To(BeFalse(), "the rate has not changed")
 	g.Expect(l.Said(4*time.Second, 2500*time.Millisecond, "s1", "a", ratelimit.Unlimited)).To(BeFalse())
 	g.Expect(l.Word("s1").PerSecond).To(Equal(6.5))
 	g.Expect(l.Said(5*time.Second, 3500*time.Millisecond, "s1", "a", ratelimit.Unlimited)).To(BeTrue())
@@ -24,8 +25,8 @@
 	g.Expect(l.Word("s2").Limited()).To(BeFalse())
 }
 
-// Guards against: a new life of a server is limited by what its former one said.
-func TestALimitEndsWithItsServer(t *testing.T) {
+// Guards against a restarted server that is still limited by the rate its previous process set.
+func TestLimitEndsWithItsServer(t *testing.T) {
 	g := NewWithT(t)
 	l := ratelimit.New()
 	l.Said(0, 0, "s1", "a", 2)
@@ -33,16 +34,17 @@
 	g.Expect(l.Word("s1").Limited()).To(BeFalse())
 }
 
-// Guards against: a VM that was cut off while a limit ended spreads the limit again.
-func TestTheEndOfALimitIsToldToThoseThatMissedIt(t *testing.T) {
+// Guards against a VM that missed the end of a limit while partitioned and spreads the limit
+// again.
+func TestEndOfLimitIsReportedToVMsThatMissedIt(t *testing.T) {
 	g := NewWithT(t)
 	l, late := ratelimit.New(), ratelimit.New()
 	l.Said(time.Second, 0, "s1", "a", 6.5)
 	late.Heard(time.Second, "s1", "a", l.Words(time.Second)["s1"])
 	g.Expect(late.Word("s1").PerSecond).To(Equal(6.5))
 	l.Said(3*time.Second, 2*time.Second, "s1", "a", ratelimit.Unlimited)
-	g.Expect(l.Words(4*time.Second)).To(HaveKey("s1"), "the end is told")
-	g.Expect(l.Words(time.Minute)).To(BeEmpty(), "but not for ever")
+	g.Expect(l.Words(4*time.Second)).To(HaveKey("s1"), "the end of the limit is reported")
+	g.Expect(l.Words(time.Minute)).To(BeEmpty(), "but not forever")
 
 	l.Heard(time.Minute, "s1", "a", late.Words(time.Minute)["s1"])
 	g.Expect(l.Word("s1").Limited()).To(BeFalse())
@@ -50,8 +52,8 @@
 	g.Expect(late.Word("s1").Limited()).To(BeFalse())
 }
 
-// Guards against: a VM that doesn't know the others takes the whole rate for itself.
-func TestALimitedServerGetsNothingBeforeTheOthersAreKnown(t *testing.T) {
+// Guards against a VM that doesn't know the other VMs and uses the whole rate by itself.
+func TestLimitedServerGetsNoRequestsUntilVMsAreKnown(t *testing.T) {
 	g := NewWithT(t)
 	l := ratelimit.New()
 	l.Said(0, 0, "s1", "a", 6.5)
@@ -60,5 +62,5 @@
 	l.Live(time.Minute, "vm-1", []lease.VM{{Name: "vm-1", DataCentre: "a"}})
 	g.Expect(l.Allows(2*time.Minute, "s1")).To(BeTrue())
 	l.Live(2*time.Minute, "vm-1", []lease.VM{{Name: "vm-2", DataCentre: "a"}})
-	g.Expect(l.Allows(3*time.Minute, "s1")).To(BeFalse(), "a VM that stops")
+	g.Expect(l.Allows(3*time.Minute, "s1")).To(BeFalse(), "a VM that is stopping")
 }
