--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -1,6 +1,6 @@
-// Package budget bounds the repeats of requests. Without a bound, servers in
-// trouble get every request several times just when they can bear the least. It
-// does no I/O and reads no clock.
+// Package budget limits the retries of requests across all VMs (a retry budget). Without a
+// limit, overloaded or failing servers receive every request several times just when they can
+// handle the least. The package does no I/O and reads no clock.
 package budget
 
 import (
@@ -8,39 +8,42 @@
 	"time"
 )
 
-// Options are the bound, for all VMs together.
+// Options configures the budget, which applies to all VMs together.
 type Options struct {
-	// Ratio is the repeats allowed for each request, and Slack those allowed
-	// besides, in each Window.
+	// Ratio is the number of retries allowed per request, and Slack the number allowed in
+	// addition in each Window.
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
-	// VMs is over how many VMs the slack is divided at least, and UnknownVMs over how
-	// many while it isn't known who there is, for UnknownFor after the first request.
+	// VMs is the minimum number of VMs among which the slack is divided. UnknownVMs is the
+	// minimum while the number of live VMs is unknown, for UnknownFor after the first request.
 	VMs, UnknownVMs int
 	UnknownFor      time.Duration
-	// Random is a random number in [0, 1). Nil is one half each time.
+	// Random returns a random number in [0, 1). Nil means always 0.5.
 	Random func() float64
 }
 
-// The parts of the bound.
+// Parameters of the budget.
 const (
-	// buckets is into how many parts a window is cut to be counted.
+	// buckets is the number of buckets in which a window is counted.
 	buckets = 40
-	// togetherPart is the part of the whole bound up to which any VM may repeat while it
-	// knows what all others do, and ownPart the part of its share that each always has:
-	// together they stay below the bound.
-	togetherPart = 0.88
-	ownPart      = 0.1
-	// apartPart is the part of its share that a VM has which doesn't know that.
-	apartPart = 0.9
-	// toldFresh is how old the others' sum may be.
-	toldFresh = 1500 * time.Millisecond
-	// toldWithin is how long what a VM does takes to be in all others' sums: to the hub of
-	// its data centre, from there to another hub, and to that one's VMs, 0.25 s each.
-	toldWithin = 750 * time.Millisecond
-	// lotDeviations is how many standard deviations of what chance may give out are kept back.
-	lotDeviations = 2
+	// sharedFraction is the fraction of the whole budget up to which any VM may retry while it
+	// has current counts of all other VMs, and reservedFraction the fraction of its own share
+	// that each VM always has: together they stay below the limit.
+	sharedFraction   = 0.88
+	reservedFraction = 0.1
+	// isolatedFraction is the fraction of its share that a VM has without current counts of the
+	// others.
+	isolatedFraction = 0.9
+	// peerCountsTTL is the maximum age of the other VMs' counts.
+	peerCountsTTL = 1500 * time.Millisecond
+	// propagationDelay is how long it takes until the counts of a VM are in the sums of all
+	// others: 0.25 s each to the hub of its data centre, from there to another hub, and to that
+	// hub's VMs.
+	propagationDelay = 750 * time.Millisecond
+	// drawDeviations is how many standard deviations of the number of random winners are held
+	// back.
+	drawDeviations = 2
 )
 
 // Count is what a VM did in the last window.
@@ -49,38 +52,38 @@
 	Repeats  int `json:"repeats"`
 }
 
-// Budget counts one VM's requests and repeats by service.
+// Budget counts one VM's requests and retries by service.
 type Budget struct {
 	options  Options
 	services map[string]*window
-	// others is what all other VMs were last told to have done, and most the most VMs
-	// that such a sum was of, this one included, and when.
-	others told
-	most   int
-	mostAt time.Duration
-	// live is how many VMs there are, this one included. 0 is not known.
-	live int
-	// begun is when the first request came.
-	begun time.Duration
-}
-
-type told struct {
+	// peers are the latest counts of all other VMs. maxVMs is the highest number of VMs that
+	// such counts covered, this one included, and maxVMsAt when that was received.
+	peers    peerCounts
+	maxVMs   int
+	maxVMsAt time.Duration
+	// liveVMs is the number of live VMs, this one included; 0 means unknown.
+	liveVMs int
+	// firstRequestAt is when the first request was counted.
+	firstRequestAt time.Duration
+}
+
+type peerCounts struct {
 	at     time.Duration
 	vms    int
 	counts map[string]Count
 }
 
 type window struct {
-	requests, repeats [buckets]int
-	at                int64
-	// draw is this VM's lot for what is left where that is less than one repeat for each VM,
-	// and drawnAt when it was drawn.
+	requests, retries [buckets]int
+	bucket            int64
+	// draw is the random number of this VM that decides whether it may retry when less than one
+	// retry per VM is left, and drawnAt when it was drawn.
 	draw    float64
 	drawnAt time.Duration
 	drawn   bool
 }
 
-// New makes a budget.
+// New returns a budget without any counts.
 func New(options Options) *Budget {
 	if options.Random == nil {
 		options.Random = func() float64 { return 0.5 }
@@ -88,34 +91,35 @@
 	return &Budget{options: options, services: make(map[string]*window)}
 }
 
-// Heard takes the sums by service of what so many other VMs did.
+// Heard sets the counts by service of the other VMs, summed over that many VMs.
 func (b *Budget) Heard(now time.Duration, vms int, counts map[string]Count) {
-	b.others = told{at: now, vms: vms, counts: counts}
-	if vms+1 >= b.most || now-b.mostAt > 2*b.options.Window {
-		b.most, b.mostAt = vms+1, now
+	b.peers = peerCounts{at: now, vms: vms, counts: counts}
+	if vms+1 >= b.maxVMs || now-b.maxVMsAt > 2*b.options.Window {
+		b.maxVMs, b.maxVMsAt = vms+1, now
 	}
 }
 
-// Counts are this VM's counts, for the others.
+// Counts returns this VM's counts by service, to report to the other VMs.
 func (b *Budget) Counts(now time.Duration) map[string]Count {
 	counts := make(map[string]Count, len(b.services))
 	for service := range b.services {
-		if count := b.own(now, service); count != (Count{}) {
+		if count := b.ownCount(now, service); count != (Count{}) {
 			counts[service] = count
 		}
 	}
 	return counts
 }
 
-// Begun tells whether this VM or those that it heard of had requests in their last window.
+// Begun reports whether this VM, or another one whose counts it has, received requests in the
+// last window.
 func (b *Budget) Begun(now time.Duration) bool {
-	for _, count := range b.others.counts {
+	for _, count := range b.peers.counts {
 		if count.Requests > 0 {
 			return true
 		}
 	}
 	for service := range b.services {
-		if b.own(now, service).Requests > 0 {
+		if b.ownCount(now, service).Requests > 0 {
 			return true
 		}
 	}
@@ -124,111 +128,114 @@
 
 // Request counts a request for a service.
 func (b *Budget) Request(now time.Duration, service string) {
-	if b.begun == 0 {
-		b.begun = now
+	if b.firstRequestAt == 0 {
+		b.firstRequestAt = now
 	}
 	w := b.window(now, service)
-	w.requests[w.at%buckets]++
+	w.requests[w.bucket%buckets]++
 }
 
-// Repeat takes one repeat, if no more than a part of the budget is used up, 1
-// being all of it. What matters less takes a smaller part, and leaves the rest.
+// Repeat takes one retry and reports true if the retries used so far are below the given part of
+// the budget (1 is all of it). Less important retries pass a smaller part and leave the rest.
 //
-// Sums are up to toldWithin old. When all VMs see the same trouble at the same moment,
-// each would use all that the others seem to leave; so in the time that a sum takes, a VM
-// uses its part of that only.
+// Counts of other VMs are up to propagationDelay old. If all VMs see the same failure at the
+// same moment, each would use everything that the others appear to leave, so within one
+// propagation delay a VM uses only its part of what is left.
 //
-// Troubles meet VMs unevenly, so a VM that knows of the others may use what they
-// leave. One that is cut off, or restarted just now, keeps to its own share: the
-// shares of all VMs together are within the bound whatever each of them knows. Of VMs
-// that hear one another only, as on one side of a cut, each side has its part of the slack.
+// Failures affect VMs unevenly, so a VM with current counts of the others may use what they
+// leave. A VM that is partitioned or has just restarted is restricted to its own share: the
+// shares of all VMs together are within the limit whatever each of them knows. If VMs receive
+// the counts of only some others, as on one side of a partition, each side gets its part of the
+// slack.
 func (b *Budget) Repeat(now time.Duration, service string, part float64) bool {
-	own := b.own(now, service)
-	share := b.bound(own.Requests) - b.options.Slack + b.options.Slack/float64(b.vms(now))
+	own := b.ownCount(now, service)
+	share := b.limit(own.Requests) - b.options.Slack + b.options.Slack/float64(b.vmCount(now))
 	next := float64(own.Repeats + 1)
-	allowed := next <= part*ownPart*share
-	if b.others.vms > 0 && now-b.others.at <= toldFresh && now >= b.begun+b.options.UnknownFor {
-		group := float64(b.others.vms + 1)
-		done := b.others.counts[service]
-		bound := b.options.Ratio*float64(own.Requests+done.Requests) + b.options.Slack*group/max(group, float64(b.vms(now)))
-		left := part*togetherPart*bound - float64(own.Repeats+done.Repeats)
-		if left < group {
-			// There is less than one repeat for each VM: chance decides which ones take it, and how
-			// many they are.
-			left -= lotDeviations * math.Sqrt(max(left, 0))
+	allowed := next <= part*reservedFraction*share
+	if b.peers.vms > 0 && now-b.peers.at <= peerCountsTTL && now >= b.firstRequestAt+b.options.UnknownFor {
+		vms := float64(b.peers.vms + 1)
+		peers := b.peers.counts[service]
+		limit := b.options.Ratio*float64(own.Requests+peers.Requests) + b.options.Slack*vms/max(vms, float64(b.vmCount(now)))
+		left := part*sharedFraction*limit - float64(own.Repeats+peers.Repeats)
+		if left < vms {
+			// Less than one retry per VM is left: random draws decide which VMs take one, and
+			// how many do.
+			left -= drawDeviations * math.Sqrt(max(left, 0))
 		}
-		allowed = allowed || float64(b.recent(now, service))+b.lot(now, service) < left/group
+		allowed = allowed || float64(b.recentRetries(now, service))+b.randomDraw(now, service) < left/vms
 	} else {
-		allowed = allowed || next <= part*apartPart*share
+		allowed = allowed || next <= part*isolatedFraction*share
 	}
 	if allowed {
 		w := b.window(now, service)
-		w.repeats[w.at%buckets]++
+		w.retries[w.bucket%buckets]++
 	}
 	return allowed
 }
 
-// lot is a random number that holds for the time that a sum takes. A VM that drew one for each
-// look would win in the end, as would all others, before any of them hears of the rest.
-func (b *Budget) lot(now time.Duration, service string) float64 {
+// randomDraw returns a random number that stays the same for one propagation delay. A VM that
+// drew a new one for each attempt would win eventually, and so would all others, before any of
+// them learns of the rest.
+func (b *Budget) randomDraw(now time.Duration, service string) float64 {
 	w := b.window(now, service)
-	if !w.drawn || now-w.drawnAt >= toldWithin {
+	if !w.drawn || now-w.drawnAt >= propagationDelay {
 		w.draw, w.drawnAt, w.drawn = b.options.Random(), now, true
 	}
 	return w.draw
 }
 
-func (b *Budget) bound(requests int) float64 {
+func (b *Budget) limit(requests int) float64 {
 	return b.options.Ratio*float64(requests) + b.options.Slack
 }
 
-// vms is over how many VMs the slack is divided. After a loss of power all VMs start at
-// the same moment and know of nobody: if each took a large share then, together they
-// would go far beyond the bound.
-func (b *Budget) vms(now time.Duration) int {
-	known := max(b.options.VMs, b.most, b.live, 1)
-	if b.live == 0 && now < b.begun+b.options.UnknownFor {
+// vmCount returns the number of VMs among which the slack is divided. After a power failure all
+// VMs start at the same moment and don't know one another: if each took a large share, together
+// they would far exceed the limit.
+func (b *Budget) vmCount(now time.Duration) int {
+	known := max(b.options.VMs, b.maxVMs, b.liveVMs, 1)
+	if b.liveVMs == 0 && now < b.firstRequestAt+b.options.UnknownFor {
 		return max(known, b.options.UnknownVMs)
 	}
 	return known
 }
 
-// Live takes how many VMs there are, this one included.
-func (b *Budget) Live(vms int) { b.live = vms }
+// Live sets the number of live VMs, this one included.
+func (b *Budget) Live(vms int) { b.liveVMs = vms }
 
-func (b *Budget) own(now time.Duration, service string) Count {
+func (b *Budget) ownCount(now time.Duration, service string) Count {
 	w := b.window(now, service)
 	var count Count
 	for i := range buckets {
 		count.Requests += w.requests[i]
-		count.Repeats += w.repeats[i]
+		count.Repeats += w.retries[i]
 	}
 	return count
 }
 
-// recent counts the repeats that the others may not know of yet: those of this part of
-// the window and of the parts before it in which a sum may be on its way.
-func (b *Budget) recent(now time.Duration, service string) int {
+// recentRetries counts the retries that the other VMs may not know of yet: those in the current
+// bucket and in the earlier ones of the last propagation delay.
+func (b *Budget) recentRetries(now time.Duration, service string) int {
 	w := b.window(now, service)
 	count := 0
-	for back := range int64(toldWithin/(b.options.Window/buckets)) + 1 {
-		count += w.repeats[(w.at+buckets-back%buckets)%buckets]
+	for back := range int64(propagationDelay/(b.options.Window/buckets)) + 1 {
+		count += w.retries[(w.bucket+buckets-back%buckets)%buckets]
 	}
 	return count
 }
 
-// window moves a service's window on to now.
+// window advances a service's window to now, clearing the buckets that have passed, and returns
+// it.
 func (b *Budget) window(now time.Duration, service string) *window {
-	at := int64(now / (b.options.Window / buckets))
+	bucket := int64(now / (b.options.Window / buckets))
 	w, ok := b.services[service]
 	if !ok {
-		w = &window{at: at}
+		w = &window{bucket: bucket}
 		b.services[service] = w
 	}
-	for passed := 0; w.at < at && passed < buckets; passed++ {
-		w.at++
-		w.requests[w.at%buckets], w.repeats[w.at%buckets] = 0, 0
+	for passed := 0; w.bucket < bucket && passed < buckets; passed++ {
+		w.bucket++
+		w.requests[w.bucket%buckets], w.retries[w.bucket%buckets] = 0, 0
 	}
-	w.at = max(w.at, at)
+	w.bucket = max(w.bucket, bucket)
 	return w
 }
