--- a/internal/core/tally/reach.go
+++ b/internal/core/tally/reach.go
@@ -5,73 +5,74 @@
 	"time"
 )
 
-// The figures of Reach.
+// Parameters of Reach.
 const (
-	// witnesses is how many VMs of a data centre must be silent: some may have been lost, or
-	// stand still. Where a third of the VMs stand still, three that are asked all do with a
-	// chance of 1 in 27. Where there are fewer, all must be, but fewestWitnesses at least.
-	witnesses       = 3
-	fewestWitnesses = 2
-	// lostFor is how long a data centre counts as out of reach after the last silence: a
-	// hub tells another one each 0.25 s and waits for as long.
-	lostFor = time.Second
+	// maxWitnesses is how many VMs of a data centre must be unresponsive before it counts as
+	// unreachable: some may have been lost or be frozen. If a third of the VMs are frozen, three
+	// probed VMs are all frozen with a probability of 1 in 27. In a smaller data centre all VMs
+	// must be unresponsive, but at least minWitnesses.
+	maxWitnesses = 3
+	minWitnesses = 2
+	// unreachableFor is how long a data centre counts as unreachable after the last timeout: a
+	// hub reports to another one every 0.25 s and waits as long for the answer.
+	unreachableFor = time.Second
 )
 
-// Reach is what a hub knows of the ways to other data centres, from whether their VMs answer
-// it.
+// Reach tracks which other data centres a hub can reach, based on whether their VMs answer it.
 //
-// What can go wrong: a data centre is cut off. Each VM finds out by itself, server by server,
-// since each connection that is opened there hangs for 0.4 s, and the repeats of all are used
-// up.
+// Without it, when a data centre is partitioned, each VM finds out by itself, server by server,
+// since each new connection to it hangs for 0.4 s, and the retry budget of all VMs is used up.
 type Reach struct {
-	silent map[string]silence
+	unresponsive map[string]unresponsiveVMs
 }
 
-// silence is what VMs of a data centre did not answer.
-type silence struct {
-	// vms are those that did not answer since one did.
+// unresponsiveVMs are the VMs of one data centre that did not answer.
+type unresponsiveVMs struct {
+	// vms are the VMs that did not answer since one last did.
 	vms []string
-	// of is how many VMs there are.
-	of int
-	at time.Duration
+	// total is how many VMs the data centre has.
+	total int
+	at    time.Duration
 }
 
-// enough tells whether so many silent VMs show that the way is lost.
-func (s silence) enough() bool {
-	return len(s.vms) >= min(witnesses, max(s.of, fewestWitnesses))
+// conclusive reports whether enough VMs are unresponsive for the data centre to count as
+// unreachable.
+func (s unresponsiveVMs) conclusive() bool {
+	return len(s.vms) >= min(maxWitnesses, max(s.total, minWitnesses))
 }
 
-// NewReach makes a view by which every data centre is reached.
-func NewReach() *Reach { return &Reach{silent: make(map[string]silence)} }
+// NewReach returns a Reach by which every data centre is reachable.
+func NewReach() *Reach { return &Reach{unresponsive: make(map[string]unresponsiveVMs)} }
 
-// Answered says that a VM of a data centre answered.
-func (r *Reach) Answered(dataCentre string) { delete(r.silent, dataCentre) }
+// Answered records that a VM of a data centre answered.
+func (r *Reach) Answered(dataCentre string) { delete(r.unresponsive, dataCentre) }
 
-// Silent says that a VM of a data centre with so many VMs did not answer.
-func (r *Reach) Silent(now time.Duration, dataCentre, vm string, of int) {
-	s := r.silent[dataCentre]
-	s.at, s.of = now, of
+// Silent records that a VM of a data centre with that many VMs did not answer.
+func (r *Reach) Silent(now time.Duration, dataCentre, vm string, total int) {
+	s := r.unresponsive[dataCentre]
+	s.at, s.total = now, total
 	if !slices.Contains(s.vms, vm) {
 		s.vms = append(s.vms, vm)
 	}
-	r.silent[dataCentre] = s
+	r.unresponsive[dataCentre] = s
 }
 
-// OtherWitnesses are the VMs of a data centre that are asked when one was silent, of those
-// that live, in the order in which they are hub. They show whether only that one is lost.
-func OtherWitnesses(silent string, ranked []string) []string {
-	others := slices.DeleteFunc(slices.Clone(ranked), func(vm string) bool { return vm == silent })
-	return others[:min(len(others), witnesses-1)]
+// OtherWitnesses returns the VMs of a data centre to probe after one did not answer, taken from
+// its live VMs in the order in which they are hub. Their answers show whether only that one VM
+// has failed.
+func OtherWitnesses(unresponsive string, ranked []string) []string {
+	others := slices.DeleteFunc(slices.Clone(ranked), func(vm string) bool { return vm == unresponsive })
+	return others[:min(len(others), maxWitnesses-1)]
 }
 
-// Lost lists the data centres that are out of reach, in order.
+// Lost returns the unreachable data centres, sorted.
 func (r *Reach) Lost(now time.Duration) []string {
-	var lost []string
-	for dataCentre, s := range r.silent {
-		if s.enough() && now-s.at <= lostFor {
-			lost = append(lost, dataCentre)
+	var unreachable []string
+	for dataCentre, s := range r.unresponsive {
+		if s.conclusive() && now-s.at <= unreachableFor {
+			unreachable = append(unreachable, dataCentre)
 		}
 	}
-	slices.Sort(lost)
-	return lost
+	slices.Sort(unreachable)
+	return unreachable
 }
--- a/internal/core/tally/reach_test.go
+++ b/internal/core/tally/reach_test.go
@@ -9,14 +9,14 @@
 	"oleandershunt.example/oleandershunt/internal/core/tally"
 )
 
-// Symptom: VMs go on offering requests to the servers of a data centre that is cut off, each
-// until it has found out by itself. Sequence: its hub is silent, and so are the VMs after it.
-// Cause: nobody draws the conclusion that the way there is gone.
-func TestADataCentreWhoseVMsAreSilentIsOutOfReach(t *testing.T) {
+// Guards against VMs that keep offering requests to the servers of a partitioned data centre,
+// each until it has found out by itself: its hub and the VMs after it do not answer, and that
+// must be enough to conclude that it is unreachable.
+func TestDataCentreIsUnreachableIfItsVMsDoNotAnswer(t *testing.T) {
 	g := NewWithT(t)
 	reach := tally.NewReach()
 	reach.Silent(0, "b", "b1", 4)
-	g.Expect(reach.Lost(0)).To(BeEmpty(), "b1 alone may be lost")
+	g.Expect(reach.Lost(0)).To(BeEmpty(), "only b1 may have failed")
 	others := tally.OtherWitnesses("b1", []string{"b1", "b2", "b3", "b4"})
 	g.Expect(others).To(Equal([]string{"b2", "b3"}))
 	for _, vm := range others {
@@ -29,10 +29,9 @@
 	g.Expect(reach.Lost(500*time.Millisecond)).To(BeEmpty(), "one answer is enough")
 }
 
-// Symptom: a data centre's servers are left out though they are reached. Sequence: its hub
-// is silent for long, or all were silent long ago. Cause: one VM is taken for all, or what
-// was found is kept for ever.
-func TestAHubThatIsLostIsNoDataCentreLost(t *testing.T) {
+// Guards against leaving out the servers of a reachable data centre because only its hub does
+// not answer for long, or because all its VMs did not answer long ago.
+func TestLostHubDoesNotMakeDataCentreUnreachable(t *testing.T) {
 	g := NewWithT(t)
 	reach := tally.NewReach()
 	for at := range 5 {
@@ -43,13 +42,13 @@
 		reach.Silent(time.Second, "c", vm, 4)
 	}
 	g.Expect(reach.Lost(time.Second)).To(Equal([]string{"c"}))
-	g.Expect(reach.Lost(2*time.Second+time.Millisecond)).To(BeEmpty(), "nobody has said so for long")
+	g.Expect(reach.Lost(2*time.Second+time.Millisecond)).To(BeEmpty(), "the last timeout is too old")
 	g.Expect(tally.OtherWitnesses("d1", []string{"d1"})).To(BeEmpty())
 }
 
-// Symptom: where a data centre has two VMs, or one, a cut is never found out, or each restart
-// of the only one is taken for a cut. Cause: a fixed number of silent VMs.
-func TestSmallDataCentresNeedAsManyWitnessesAsTheyHave(t *testing.T) {
+// Guards against a fixed number of unresponsive VMs: in a data centre of two VMs or one, a
+// partition would never be detected, or each restart of the only VM would count as one.
+func TestSmallDataCentresNeedFewerWitnesses(t *testing.T) {
 	g := NewWithT(t)
 	reach := tally.NewReach()
 	reach.Silent(0, "b", "b1", 2)
--- a/internal/core/tally/tally.go
+++ b/internal/core/tally/tally.go
@@ -1,11 +1,12 @@
-// Package tally adds up what the VMs of a deployment put on backend servers, and how
-// often they repeat requests: each VM tells one of its data centre, the hub, and hears
-// the sum of all others; hubs tell one another the sums of their data centres. It does no
-// I/O and reads no clock; its methods must not be called at the same time.
+// Package tally aggregates the load that the VMs of a deployment put on backend servers and how
+// often they retry requests. Each VM reports to one VM of its data centre, the hub, and receives
+// the sum of all others; hubs exchange the sums of their data centres. The package does no I/O
+// and reads no clock; it is not safe for concurrent use.
 //
-// What it gains: with words from each VM to all, what a VM hears grows with the VMs, so
-// each of many can tell its loads only seldom, all know next to nothing of one another, and
-// servers refuse for want of room what others would take.
+// If each VM reported to all others instead, what a VM receives would grow with the number of
+// VMs, so that in a large deployment each could report its loads only rarely. VMs would know
+// next to nothing of one another, and servers would reject requests for lack of memory that
+// other servers could serve.
 package tally
 
 import (
@@ -16,32 +17,32 @@
 	"oleandershunt.example/oleandershunt/internal/core/ratelimit"
 )
 
-// The figures of a hub.
+// Parameters of a hub.
 const (
-	// Fresh is how long a report counts as a VM's after it came: three tellings. A VM that
-	// is gone has lost its requests.
+	// Fresh is how long the loads of a report count after it was received: three reporting
+	// intervals. The requests of a VM that has gone have ended.
 	Fresh = 750 * time.Millisecond
-	// CountsKept is how long its repeats still count: in the window of the budget they
-	// were made, whatever became of the VM.
+	// CountsKept is how long the retries of a report count: they were made within the window of
+	// the retry budget, whatever became of the VM.
 	CountsKept = 10 * time.Second
 )
 
-// Tally is what some VMs have.
+// Tally is the aggregated state of some VMs.
 type Tally struct {
-	// VMs is how many they are.
+	// VMs is the number of these VMs.
 	VMs int
-	// Loads are what their requests take, by server.
+	// Loads is the usage by their requests, by server.
 	Loads map[string]backends.Usage
-	// Counts are their requests and repeats, by service.
+	// Counts are their requests and retries, by service.
 	Counts map[string]budget.Count
-	// Full are the servers that refused one of their requests for want of room a moment
-	// ago, and how long they are held to be full.
+	// Full lists the servers that recently rejected one of their requests for lack of memory,
+	// and for how long to treat them as full.
 	Full map[string]time.Duration
-	// Rates are the request rates that servers set, the newest word on each.
+	// Rates are the request rates that servers set, the newest report for each.
 	Rates map[string]ratelimit.Word
 }
 
-func empty() Tally {
+func newTally() Tally {
 	return Tally{Loads: make(map[string]backends.Usage), Counts: make(map[string]budget.Count), Full: make(map[string]time.Duration), Rates: make(map[string]ratelimit.Word)}
 }
 
@@ -59,70 +60,71 @@
 	for id, span := range other.Full {
 		t.Full[id] = max(t.Full[id], span)
 	}
-	for id, word := range other.Rates {
-		if known, ok := t.Rates[id]; !ok || word.At > known.At {
-			t.Rates[id] = word
+	for id, report := range other.Rates {
+		if known, ok := t.Rates[id]; !ok || report.At > known.At {
+			t.Rates[id] = report
 		}
 	}
 }
 
-// report is what was told, and when.
+// report is a received tally and the time at which it was received.
 type report struct {
 	at    time.Duration
 	tally Tally
 }
 
-// still is what a report stands for now.
-func (r report) still(now time.Duration) Tally {
+// current returns the part of a report that still counts.
+func (r report) current(now time.Duration) Tally {
 	if now-r.at <= Fresh {
 		return r.tally
 	}
 	return Tally{Counts: r.tally.Counts}
 }
 
-// Hub adds up the reports of its data centre's VMs and of other data centres.
+// Hub aggregates the reports of its data centre's VMs and the sums of other data centres.
 type Hub struct {
-	dataCentre string
-	vms, far   map[string]report
+	dataCentre  string
+	vms, remote map[string]report
 }
 
-// NewHub makes a hub of a data centre that has heard nothing.
+// NewHub returns the hub of a data centre, without any reports.
 func NewHub(dataCentre string) *Hub {
-	return &Hub{dataCentre: dataCentre, vms: make(map[string]report), far: make(map[string]report)}
+	return &Hub{dataCentre: dataCentre, vms: make(map[string]report), remote: make(map[string]report)}
 }
 
-// Report takes a VM's own tally.
+// Report records a VM's own tally.
 func (h *Hub) Report(now time.Duration, vm string, tally Tally) { h.vms[vm] = report{now, tally} }
 
-// ReportFar takes the sum of another data centre.
+// ReportFar records the sum of another data centre.
 func (h *Hub) ReportFar(now time.Duration, dataCentre string, tally Tally) {
 	if dataCentre != h.dataCentre {
-		h.far[dataCentre] = report{now, tally}
+		h.remote[dataCentre] = report{now, tally}
 	}
 }
 
-// Near is the sum of this data centre's VMs, but for one of them; empty leaves out none.
-func (h *Hub) Near(now time.Duration, but string) Tally {
-	sum := empty()
-	sum.addReports(now, h.vms, but)
+// Near returns the sum of this data centre's VMs except the given one; an empty name excludes
+// none.
+func (h *Hub) Near(now time.Duration, except string) Tally {
+	sum := newTally()
+	sum.addReports(now, h.vms, except)
 	return sum
 }
 
-// Others is the sum of all VMs but one.
-func (h *Hub) Others(now time.Duration, but string) Tally {
-	sum := h.Near(now, but)
-	sum.addReports(now, h.far, "")
+// Others returns the sum of all VMs except the given one.
+func (h *Hub) Others(now time.Duration, except string) Tally {
+	sum := h.Near(now, except)
+	sum.addReports(now, h.remote, "")
 	return sum
 }
 
-// addReports adds what reports stand for, but for one of them, and drops those that stand
-// for nothing any more.
-func (t *Tally) addReports(now time.Duration, reports map[string]report, but string) {
-	for from, said := range reports {
-		if now-said.at > CountsKept {
+// addReports adds the parts of reports that still count, except those from the given VM, and
+// deletes expired reports.
+func (t *Tally) addReports(now time.Duration, reports map[string]report, except string) {
+	for from, report := range reports {
+		if now-report.at > CountsKept {
 			delete(reports, from)
-		} else if from != but {
-			t.add(said.still(now))
+		} else if from != except {
+			t.add(report.current(now))
 		}
 	}
 }
