--- a/internal/core/backpressure/pauses.go
+++ b/internal/core/backpressure/pauses.go
@@ -6,75 +6,75 @@
 )
 
 const (
-	// trialEvery is the time between two requests to a server whose pause is over, until it
-	// takes one: all that waited for the end would come at once.
-	trialEvery = 200 * time.Millisecond
-	// pauseKept is how long a pause is remembered after its end while no request tries the
-	// server.
-	pauseKept = time.Minute
+	// probeInterval is the time between two requests to a server whose pause has ended, until it
+	// accepts one: otherwise all requests that waited for the end would arrive at once.
+	probeInterval = 200 * time.Millisecond
+	// pauseRetention is how long a pause is kept after its end if no request probes the server.
+	pauseRetention = time.Minute
 )
 
-// Pauses are the servers that want no requests of this VM for a time, by ID. An ID is of one
-// process of a server, so a pause ends with the process that asked for it.
-type Pauses struct{ servers map[string]*paused }
+// Pauses tracks, by ID, the servers that have asked this VM to send no requests for some time.
+// An ID belongs to one process of a server, so a pause ends with the process that asked for it.
+type Pauses struct{ servers map[string]*pauseState }
 
-// paused is a server that asked for a pause and has taken no request since.
-type paused struct {
-	// until is the end of the pause, and trial when the next request may try the server.
-	until, trial time.Duration
+// pauseState is a server that asked for a pause and has accepted no request since.
+type pauseState struct {
+	// until is the end of the pause, and nextProbe when the next request may probe the server.
+	until, nextProbe time.Duration
 }
 
-// NewPauses makes pauses of no server.
-func NewPauses() *Pauses { return &Pauses{servers: make(map[string]*paused)} }
+// NewPauses returns an empty set of pauses.
+func NewPauses() *Pauses { return &Pauses{servers: make(map[string]*pauseState)} }
 
-// Ask takes a server's word that it wants no requests for a span from now on. A shorter one
-// doesn't end what it asked for before. It returns whether that is news.
+// Ask records that a server wants no requests for the given time from now on. It never shortens
+// an earlier pause. It reports whether the server was not paused before.
 func (p *Pauses) Ask(now time.Duration, id string, span time.Duration) bool {
 	known, ok := p.servers[id]
 	if !ok {
-		known = &paused{}
+		known = &pauseState{}
 		p.servers[id] = known
 	}
-	news := now >= known.until
+	started := now >= known.until
 	known.until = max(known.until, now+span)
-	return news
+	return started
 }
 
-// Active tells whether a server wants no requests now.
+// Active reports whether a server is paused now.
 func (p *Pauses) Active(now time.Duration, id string) bool {
 	known, ok := p.servers[id]
 	return ok && now < known.until
 }
 
-// Until is from when on a server may get the next request; 0 where it may get any.
+// Until returns the time from which a server may get the next request, or 0 if there is no
+// restriction.
 func (p *Pauses) Until(id string) time.Duration {
 	if known, ok := p.servers[id]; ok {
-		return max(known.until, known.trial)
+		return max(known.until, known.nextProbe)
 	}
 	return 0
 }
 
-// Sent counts a request that is sent to a server.
+// Sent records that a request was sent to a server.
 func (p *Pauses) Sent(now time.Duration, id string) {
 	if known, ok := p.servers[id]; ok && now >= known.until {
-		known.trial = now + trialEvery
+		known.nextProbe = now + probeInterval
 	}
 }
 
-// Took says that a server runs a request that was sent to it at a moment. One that was sent
-// before its pause ended says nothing of now.
+// Took records that a server accepted a request that was sent at the given time. Requests sent
+// before the end of the pause are ignored: they say nothing about the present.
 func (p *Pauses) Took(now, sent time.Duration, id string) {
 	if known, ok := p.servers[id]; ok && now >= known.until && sent >= known.until {
 		delete(p.servers, id)
 	}
 }
 
-// Ends are the moments after now at which a server that is of interest may get a request, in
-// order.
-func (p *Pauses) Ends(now time.Duration, of func(id string) bool) []time.Duration {
+// Ends returns the times after now, sorted, at which one of the servers selected by match may
+// get a request.
+func (p *Pauses) Ends(now time.Duration, match func(id string) bool) []time.Duration {
 	var ends []time.Duration
 	for id := range p.servers {
-		if until := p.Until(id); until > now && of(id) {
+		if until := p.Until(id); until > now && match(id) {
 			ends = append(ends, until)
 		}
 	}
@@ -82,10 +82,10 @@
 	return slices.Compact(ends)
 }
 
-// Tidy forgets the pauses that ended long ago.
+// Tidy removes pauses that ended more than pauseRetention ago.
 func (p *Pauses) Tidy(now time.Duration) {
 	for id, known := range p.servers {
-		if now > known.until+pauseKept {
+		if now > known.until+pauseRetention {
 			delete(p.servers, id)
 		}
 	}
--- a/internal/core/backpressure/pauses_test.go
+++ b/internal/core/backpressure/pauses_test.go
@@ -9,12 +9,13 @@
 	"oleandershunt.example/oleandershunt/internal/core/backpressure"
 )
 
-// Guards against: a pause ends early by a shorter one, or by an answer to an earlier request.
-func TestAPauseLastsAsLongAsItsServerAskedFor(t *testing.T) {
+// Guards against a pause that is ended early by a shorter one or by an answer to an earlier
+// request.
+func TestPauseLastsAsLongAsRequested(t *testing.T) {
 	g := NewWithT(t)
 	p := backpressure.NewPauses()
 	g.Expect(p.Ask(0, "s1", 3*time.Second)).To(BeTrue())
-	g.Expect(p.Ask(time.Second, "s1", time.Second)).To(BeFalse(), "it is paused already")
+	g.Expect(p.Ask(time.Second, "s1", time.Second)).To(BeFalse(), "it is already paused")
 	p.Took(2*time.Second, 0, "s1")
 	g.Expect(p.Active(2999*time.Millisecond, "s1")).To(BeTrue())
 	g.Expect(p.Until("s1")).To(Equal(3 * time.Second))
@@ -24,8 +25,8 @@
 	g.Expect(p.Until("s1")).To(Equal(5 * time.Second))
 }
 
-// Guards against: all requests that waited for the end of a pause come at once.
-func TestOneRequestAfterTheOtherTriesAServerWhosePauseIsOver(t *testing.T) {
+// Guards against sending all requests that waited for the end of a pause at once.
+func TestServerIsProbedOneRequestAtATimeAfterPause(t *testing.T) {
 	g := NewWithT(t)
 	p := backpressure.NewPauses()
 	p.Ask(0, "s1", time.Second)
@@ -43,8 +44,8 @@
 	g.Expect(p.Until("s1")).To(BeZero())
 }
 
-// Guards against: servers that are gone are remembered for good.
-func TestPausesThatEndedLongAgoAreForgotten(t *testing.T) {
+// Guards against keeping the state of servers that no longer exist forever.
+func TestExpiredPausesAreRemoved(t *testing.T) {
 	g := NewWithT(t)
 	p := backpressure.NewPauses()
 	p.Ask(0, "s1", time.Second)
--- a/internal/core/backpressure/signals.go
+++ b/internal/core/backpressure/signals.go
@@ -1,6 +1,6 @@
-// Package backpressure is what backend servers ask of a VM in their answers, and until when
-// they want none of its requests. It does no I/O and reads no clock; its methods must not be
-// called at the same time.
+// Package backpressure handles the signals with which backend servers throttle a VM in their
+// answers: request rates, pauses and departure. It tracks until when each server wants no
+// requests. It does no I/O and reads no clock; it is not safe for concurrent use.
 package backpressure
 
 import (
@@ -9,25 +9,25 @@
 	"oleandershunt.example/oleandershunt/internal/core/ratelimit"
 )
 
-// Signals are what the head of a server's answer asks of the VM that it goes to. The zero value
-// asks for nothing.
+// Signals are the backpressure signals in the header of a server's answer. The zero value is an
+// answer without any.
 type Signals struct {
-	// Limited says that the server sets a request rate, and PerSecond the requests a second
-	// that it takes from all VMs together: NaN where that can't be read.
+	// Limited is set if the server sets a request rate. PerSecond is the number of requests per
+	// second that it accepts from all VMs together, or NaN if the value can't be parsed.
 	Limited   bool
 	PerSecond float64
-	// Pause is for how long the server wants no requests of this VM: 0 where it asks for no
-	// pause, Unread where that can't be read.
+	// Pause is how long the server wants no requests from this VM: 0 if it asks for no pause,
+	// Unread if the value can't be parsed.
 	Pause time.Duration
-	// Leaving says that the server leaves, and is to get nothing new.
+	// Leaving is set if the server is shutting down and must get no new requests.
 	Leaving bool
 }
 
-// Unread is a pause that can't be read.
+// Unread is the value of a pause that can't be parsed.
 const Unread time.Duration = -1
 
-// Rate is the requests a second that the server takes: ratelimit.Unlimited where it sets no rate,
-// NaN where that can't be read.
+// Rate returns the number of requests per second that the server accepts: ratelimit.Unlimited if
+// it sets no rate, NaN if the value can't be parsed.
 func (s Signals) Rate() float64 {
 	if !s.Limited {
 		return ratelimit.Unlimited
