--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -193,8 +193,8 @@
 	g.Expect(allowed).To(BeNumerically(">=", 390))
 }
 
-// Guards against exceeding the budget when 195 VMs see the same failure at the same moment, so
-// little is left that each would have less than one retry, and each takes one.
+// Guards against exceeding the budget when 195 VMs see the same failure at the same moment, with
+// so little left that each has less than one retry, and each takes one.
 func TestManySimultaneousRetriesKeepLimit(t *testing.T) {
 	g := NewWithT(t)
 	f := newRandomFleet(195)
--- a/internal/core/spread/spread.go
+++ b/internal/core/spread/spread.go
@@ -96,7 +96,7 @@
 
 const layerCost = 1.5
 
-// Layout distributes the layers over servers, regardless of what they hold now. The fastest
+// Layout distributes the layers over servers that hold nothing that must be kept. The fastest
 // servers make up the first copy, so that a token passes few servers and none that takes several
 // times as long. The others make up further copies, and the servers left over hold the layers
 // with the fewest copies.
--- a/renames/spread-docs.sh
+++ b/renames/spread-docs.sh
@@ -17,7 +17,7 @@
 	-e 's|// Pace is the current slowdown|// Slowdown is the current slowdown|' \
 	$c/spread/spread.go
 sed -i \
-	-e 's|^// Word is a report|// Report is a report|' \
+	-e 's|^// Word is a report|// Report is an observation|' \
 	-e 's|// At is when|// ObservedAt is when|' \
 	-e 's|^// Said records|// ObserveAnswer records|' \
 	-e 's|^// Heard merges|// MergeReport merges|' \
