--- a/internal/core/place/bench_test.go
+++ b/internal/core/place/bench_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// BenchmarkPlan is one step of the planner when nothing is to be done.
+// BenchmarkPlan measures a planning step that has nothing to do.
 func BenchmarkPlan(b *testing.B) {
 	for _, servers := range []int{30, 770} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			var records []Record
+			var configs []Record
 			for i := range servers {
-				records = append(records, engineRecord(i, i%2*12, i%2*12+12))
+				configs = append(configs, engineConfig(i, i%2*12, i%2*12+12))
 			}
-			w := newWorld(scorer("v1"), records...)
-			w.planner.Hold(1, 0, time.Hour)
-			for range servers/w.planner.options.Reads + 2 {
-				w.step()
+			sim := newSimulation(scorerModels("v1"), configs...)
+			sim.planner.Hold(1, 0, time.Hour)
+			for range servers/sim.planner.options.MaxReads + 2 {
+				sim.step()
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				w.planner.Plan(w.now)
+				sim.planner.Plan(sim.now)
 			}
 		})
 	}
--- a/internal/core/place/coverage.go
+++ b/internal/core/place/coverage.go
@@ -9,180 +9,188 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// serving tells whether the server gives its layers to new requests.
+// serving reports whether the server offers its layers to new requests.
 func (s *server) serving() bool {
-	return s.up && !s.record.Leaving && !s.loading() && s.report != nil
+	return s.available && !s.config.Leaving && !s.loading() && s.report != nil
 }
 
-// live lists the holdings of the serving servers but one.
-func (p *Planner) live(but *server) []Holding {
-	var held []Holding
+// servingPlacements lists the placements of all serving servers except one.
+func (p *Planner) servingPlacements(except *server) []Holding {
+	var placements []Holding
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
-		if s := p.servers[name]; s != but && s.serving() {
-			held = append(held, s.report.Held)
+		if s := p.servers[name]; s != except && s.serving() {
+			placements = append(placements, s.report.Held)
 		}
 	}
-	return held
+	return placements
 }
 
-// certain lists the holdings of the serving servers but one that were read since
-// this VM holds the role. A former holder's order may have taken any other out
-// of service without its lagging report showing it yet.
-func (p *Planner) certain(but *server) []Holding {
-	var held []Holding
+// confirmedPlacements lists the placements of the serving servers, except one,
+// that have been read since this VM acquired the role. A previous holder's order
+// may have taken any other server out of service, which its stale report does
+// not show yet.
+func (p *Planner) confirmedPlacements(except *server) []Holding {
+	var placements []Holding
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
-		if s := p.servers[name]; s != but && s.serving() && p.sure(s) {
-			held = append(held, s.report.Held)
+		if s := p.servers[name]; s != except && s.serving() && p.confirmed(s) {
+			placements = append(placements, s.report.Held)
 		}
 	}
-	return held
+	return placements
 }
 
-// possible lists the holdings of the servers but one that may be serving: it
-// counts those that are loading, since the order may have been lost and the
-// load may have ended.
-func (p *Planner) possible(but *server) []Holding {
-	var held []Holding
+// possiblePlacements lists the placements of the servers, except one, that may
+// be serving. It includes those that are loading, since the order may have been
+// lost and the load may have finished.
+func (p *Planner) possiblePlacements(except *server) []Holding {
+	var placements []Holding
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
 		s := p.servers[name]
-		if s != but && s.up && !s.record.Leaving && s.report != nil {
-			held = append(held, s.report.Held)
+		if s != except && s.available && !s.config.Leaving && s.report != nil {
+			placements = append(placements, s.report.Held)
 		}
 	}
-	return held
+	return placements
 }
 
-// sure tells whether the process that answers at a server was read directly
-// after the last order of a former holder can have arrived.
-func (p *Planner) sure(s *server) bool {
-	return p.tenure != nil && s.direct != nil && s.report != nil &&
-		s.direct.Incarnation == s.report.Incarnation && s.direct.At > p.quietUntil(s)
+// confirmed reports whether the current process of the server was read directly
+// after the last order of a previous lease holder can have arrived.
+func (p *Planner) confirmed(s *server) bool {
+	return p.lease != nil && s.directReport != nil && s.report != nil &&
+		s.directReport.Incarnation == s.report.Incarnation && s.directReport.At > p.lateOrdersUntil(s)
 }
 
-// covers tells whether every layer in the range has a copy among the holdings.
-func covers(held []Holding, model, version string, layers api.Layers) bool {
+// covers reports whether every layer in the range has a copy among the
+// placements.
+func covers(placements []Holding, model, version string, layers api.Layers) bool {
 	for layer := layers.From; layer < layers.To; layer++ {
-		if !slices.ContainsFunc(held, func(h Holding) bool { return h.has(model, version, layer) }) {
+		if !slices.ContainsFunc(placements, func(p Holding) bool { return p.hasLayer(model, version, layer) }) {
 			return false
 		}
 	}
 	return true
 }
 
-// spare tells whether a server can be taken out of service: afterwards the data
-// centre still has every layer of the wanted version, or another copy of each
-// layer that the server holds. Without this a change of versions or the repair
-// of one gap would itself stop requests, which an operator would see as refusals
-// for want of a path while every server is up.
-func (p *Planner) spare(s *server) bool {
+// canDrain reports whether a server can be taken out of service: without it, the
+// data centre still has every layer of the configured version, or another copy
+// of each layer that the server has loaded. Otherwise a version change or the
+// repair of one gap could itself make requests fail with no_path while every
+// server is up.
+func (p *Planner) canDrain(s *server) bool {
 	if s.report == nil {
 		return false
 	}
-	held := s.report.Held
-	model, known := p.models[held.Model]
-	if !known || held.Layers.Len() <= 0 {
+	current := s.report.Held
+	model, known := p.models[current.Model]
+	if !known || current.Layers.Len() <= 0 {
 		return true
 	}
 	whole := api.Layers{From: 0, To: model.Layers}
-	others := p.certain(s)
-	if covers(others, held.Model, model.Version, whole) {
+	others := p.confirmedPlacements(s)
+	if covers(others, current.Model, model.Version, whole) {
 		return true
 	}
-	if covers(others, held.Model, held.Version, held.Layers) {
+	if covers(others, current.Model, current.Version, current.Layers) {
 		return true
 	}
-	return p.useless(held, model, append(p.possible(s), held))
+	return p.obsolete(current, model, append(p.possiblePlacements(s), current))
 }
 
-// useless tells whether the server's layers serve nothing: they are of an old
-// version which has lost a layer elsewhere, so that only the wanted version can
-// become whole again.
-func (p *Planner) useless(held Holding, model Model, all []Holding) bool {
+// obsolete reports whether the server's layers are of no use: they belong to an
+// old version that has lost a layer elsewhere, so that only the configured
+// version can become complete again.
+func (p *Planner) obsolete(current Holding, model Model, all []Holding) bool {
 	whole := api.Layers{From: 0, To: model.Layers}
-	return held.Version != model.Version && p.selfSufficient(held.Model, whole) &&
-		!covers(all, held.Model, held.Version, whole)
+	return current.Version != model.Version && p.desiredCoversModel(current.Model, whole) &&
+		!covers(all, current.Model, current.Version, whole)
 }
 
-// selfSufficient tells whether the data centre's own records cover the model.
-func (p *Planner) selfSufficient(model string, whole api.Layers) bool {
-	var wanted []Holding
+// desiredCoversModel reports whether the placements configured in this data
+// centre cover the whole model.
+func (p *Planner) desiredCoversModel(model string, whole api.Layers) bool {
+	var desired []Holding
 	for _, s := range p.servers {
-		if s.record.Want.Model == model {
-			wanted = append(wanted, Holding{Model: model, Layers: s.record.Want.Layers})
+		if s.config.Want.Model == model {
+			desired = append(desired, Holding{Model: model, Layers: s.config.Want.Layers})
 		}
 	}
-	return covers(wanted, model, "", whole)
+	return covers(desired, model, "", whole)
 }
 
-// substitute keeps the assignment of substitutes to lost servers in step with
-// what is lost.
-func (p *Planner) substitute(now time.Duration) {
-	for _, lost := range slices.Sorted(maps.Keys(p.instead)) {
-		if p.back(now, p.servers[lost]) || !p.servers[p.instead[lost]].up {
-			delete(p.instead, lost)
+// updateSubstitutes releases the substitutes that are no longer needed or
+// available, and assigns substitutes to lost servers that have none.
+func (p *Planner) updateSubstitutes(now time.Duration) {
+	for _, lost := range slices.Sorted(maps.Keys(p.substitutes)) {
+		if p.recovered(now, p.servers[lost]) || !p.servers[p.substitutes[lost]].available {
+			delete(p.substitutes, lost)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
 		s := p.servers[name]
-		if _, has := p.instead[name]; has || !p.lost(now, s) || p.covered(s) {
+		if _, has := p.substitutes[name]; has || !p.needsSubstitute(now, s) || p.covered(s) {
 			continue
 		}
-		if substitute, ok := p.choose(s); ok {
-			p.instead[name] = substitute
+		if substitute, ok := p.chooseSubstitute(s); ok {
+			p.substitutes[name] = substitute
 		}
 	}
 }
 
-// lost tells whether a server's part must be given to another.
-func (p *Planner) lost(now time.Duration, s *server) bool {
-	if s.record.Want.Model == "" {
+// needsSubstitute reports whether a server's placement must be assigned to
+// another server.
+func (p *Planner) needsSubstitute(now time.Duration, s *server) bool {
+	if s.config.Want.Model == "" {
 		return false
 	}
-	return s.record.Leaving || !s.up && now >= s.changed+p.options.LossGrace
+	return s.config.Leaving || !s.available && now >= s.availabilityChangedAt+p.options.LossGrace
 }
 
-// back tells whether a server has held its part again for long enough that its
-// substitute may return. It returns only if it is spare then.
-func (p *Planner) back(now time.Duration, s *server) bool {
-	return s.serving() && satisfied(s.report.Held, s.record.Want) && now >= s.changed+p.options.Settle
+// recovered reports whether a server has had its configured placement for long
+// enough that its substitute may return. The substitute returns only if it can
+// be drained then.
+func (p *Planner) recovered(now time.Duration, s *server) bool {
+	return s.serving() && satisfied(s.report.Held, s.config.Want) && now >= s.availabilityChangedAt+p.options.ReturnDelay
 }
 
-// covered tells whether the lost server's layers have, or are about to have,
-// other live copies: of the wanted version, or of the version that it held, so
-// that a change of versions does not look like a loss.
+// covered reports whether the lost server's layers have other serving copies of
+// the configured version, or are about to have them. A planned version change
+// thus does not look like a loss.
 func (p *Planner) covered(lost *server) bool {
-	want := lost.record.Want
-	held := p.live(lost)
-	if covers(held, want.Model, want.Version, want.Layers) {
+	desired := lost.config.Want
+	placements := p.servingPlacements(lost)
+	if covers(placements, desired.Model, desired.Version, desired.Layers) {
 		return true
 	}
 	for _, s := range p.servers {
-		if s != lost && s.up && !s.record.Leaving {
-			held = append(held, p.wanted(s))
+		if s != lost && s.available && !s.config.Leaving {
+			placements = append(placements, p.desired(s))
 		}
 	}
-	return covers(held, want.Model, want.Version, want.Layers)
+	return covers(placements, desired.Model, desired.Version, desired.Layers)
 }
 
-// choose picks the server that takes a lost server's part: a spare one that is
-// known to hold as many layers, and the one that is expected to be ready first.
-func (p *Planner) choose(lost *server) (string, bool) {
-	taken := make(map[string]bool, len(p.instead))
-	for _, substitute := range p.instead {
-		taken[substitute] = true
+// chooseSubstitute picks a server to take over the placement of a lost one:
+// among the servers that can be drained and are configured for at least as many
+// layers, the one that is expected to be ready first.
+func (p *Planner) chooseSubstitute(lost *server) (string, bool) {
+	assigned := make(map[string]bool, len(p.substitutes))
+	for _, substitute := range p.substitutes {
+		assigned[substitute] = true
 	}
-	var fits []*server
+	var candidates []*server
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
 		s := p.servers[name]
-		roomy := s.record.Want.Layers.Len() >= lost.record.Want.Layers.Len()
-		if s != lost && roomy && !taken[name] && s.serving() && p.spare(s) {
-			fits = append(fits, s)
+		largeEnough := s.config.Want.Layers.Len() >= lost.config.Want.Layers.Len()
+		if s != lost && largeEnough && !assigned[name] && s.serving() && p.canDrain(s) {
+			candidates = append(candidates, s)
 		}
 	}
-	if len(fits) == 0 {
+	if len(candidates) == 0 {
 		return "", false
 	}
-	want := lost.record.Want
-	first := slices.MinFunc(fits, func(a, b *server) int { return cmp.Compare(p.expected(a, want), p.expected(b, want)) })
-	return first.record.Name, true
+	desired := lost.config.Want
+	first := slices.MinFunc(candidates, func(a, b *server) int {
+		return cmp.Compare(p.expectedLoadTime(a, desired), p.expectedLoadTime(b, desired))
+	})
+	return first.config.Name, true
 }
--- a/internal/core/place/planner.go
+++ b/internal/core/place/planner.go
@@ -9,89 +9,92 @@
 	"time"
 )
 
-// Planner plans the servers of one data centre. It is not safe for concurrent use.
+// Planner plans the placements of the servers of one data centre. It is not safe
+// for concurrent use.
 type Planner struct {
 	options Options
 	models  map[string]Model
 	servers map[string]*server
-	tenure  *tenure
-	// instead maps a lost server to its substitute.
-	instead map[string]string
-	// pace is the learned time to load a layer, by kind of accelerator.
-	pace map[string]time.Duration
-	// orders counts the orders given, for their IDs.
-	orders int
-	last   Status
-}
-
-// tenure is the time for which this VM holds the placement role.
-type tenure struct {
+	lease   *roleLease
+	// substitutes maps a lost server to its substitute.
+	substitutes map[string]string
+	// layerTimes is the learned time to load a layer, by type of accelerator.
+	layerTimes map[string]time.Duration
+	// orderCount is the number of orders created, for their IDs.
+	orderCount int
+	lastStatus Status
+}
+
+// roleLease is the period in which this VM holds the placement role.
+type roleLease struct {
 	fence uint64
 	since time.Duration
 	until time.Duration
 }
 
-// server is all that is known of one server.
+// server is the known state of one server.
 type server struct {
-	record Record
-	up     bool
-	// changed is when up last changed.
-	changed time.Duration
-	// report is the newest report and direct the newest that was read directly.
-	report *Report
-	direct *Report
-	flight *flight
-	// failures counts failed orders in a row; no order is given before notBefore.
-	failures  int
-	notBefore time.Duration
-	readAt    time.Duration
-}
-
-// New makes a planner that knows no server and doesn't hold the role.
+	config    Record
+	available bool
+	// availabilityChangedAt is when available last changed.
+	availabilityChangedAt time.Duration
+	// report is the latest report, and directReport the latest that was read
+	// directly.
+	report       *Report
+	directReport *Report
+	inFlight     *inFlightOrder
+	// failures counts consecutive failed orders. No order is sent before retryAt.
+	failures   int
+	retryAt    time.Duration
+	lastReadAt time.Duration
+}
+
+// New returns a planner without servers that does not hold the role.
 func New(options Options) *Planner {
 	return &Planner{
-		options: options,
-		models:  make(map[string]Model),
-		servers: make(map[string]*server),
-		instead: make(map[string]string),
-		pace:    make(map[string]time.Duration),
+		options:     options,
+		models:      make(map[string]Model),
+		servers:     make(map[string]*server),
+		substitutes: make(map[string]string),
+		layerTimes:  make(map[string]time.Duration),
 	}
 }
 
-// Configure takes the configuration in force: the models, and the model engines
+// Configure sets the configuration in force: the models, and the model engines
 // of the data centre.
-func (p *Planner) Configure(now time.Duration, models map[string]Model, records []Record) {
+func (p *Planner) Configure(now time.Duration, models map[string]Model, configs []Record) {
 	p.models = models
-	known := make(map[string]bool, len(records))
-	for _, record := range records {
-		known[record.Name] = true
-		s, ok := p.servers[record.Name]
+	known := make(map[string]bool, len(configs))
+	for _, config := range configs {
+		known[config.Name] = true
+		s, ok := p.servers[config.Name]
 		if !ok {
-			s = &server{changed: now}
-			p.servers[record.Name] = s
+			s = &server{availabilityChangedAt: now}
+			p.servers[config.Name] = s
 		}
-		s.record = record
+		s.config = config
 	}
 	maps.DeleteFunc(p.servers, func(name string, _ *server) bool { return !known[name] })
-	maps.DeleteFunc(p.instead, func(lost, substitute string) bool { return !known[lost] || !known[substitute] })
+	maps.DeleteFunc(p.substitutes, func(lost, substitute string) bool { return !known[lost] || !known[substitute] })
 }
 
-// SetUp takes the judgement on whether a server answers.
+// SetUp sets whether a server is available.
 func (p *Planner) SetUp(now time.Duration, name string, up bool) {
-	if s, ok := p.servers[name]; ok && s.up != up {
-		s.up, s.changed = up, now
+	if s, ok := p.servers[name]; ok && s.available != up {
+		s.available, s.availabilityChangedAt = up, now
 	}
 }
 
-// Restarted says that another process answers at a server: what it holds is to
-// be read.
+// Restarted discards what is known of a server's previous process, so that the
+// new one is read.
 func (p *Planner) Restarted(name string) {
 	if s, ok := p.servers[name]; ok {
-		s.report, s.direct, s.flight = nil, nil, nil
+		s.report, s.directReport, s.inFlight = nil, nil, nil
 	}
 }
 
-// Observe takes a server's report of itself. An older one than known is dropped.
+// Observe handles a server's report. Reports older than the latest known one are
+// dropped.
 func (p *Planner) Observe(report Report) {
 	s, ok := p.servers[report.Server]
 	if !ok {
@@ -101,91 +104,93 @@
 		return
 	}
 	if !report.Direct && s.report != nil && s.report.Incarnation == report.Incarnation {
-		// A lagging report says nothing of adapters, role and loading.
+		// A report that was not read directly has no adapters, role or loading
+		// state.
 		report.Loading = s.report.Loading
 		report.Held.Adapters, report.Held.Role = s.report.Held.Adapters, s.report.Held.Role
 	}
 	s.report = &report
 	if report.Direct {
-		s.direct = &report
+		s.directReport = &report
 	}
 }
 
-// Hold says that this VM holds the placement role under a fencing number, since
-// a time and until a time on its own clock.
+// Hold records that this VM holds the placement role with a fencing number, from
+// since until a time on its own clock.
 func (p *Planner) Hold(fence uint64, since, until time.Duration) {
-	if p.tenure != nil && p.tenure.fence == fence {
-		p.tenure.until = max(p.tenure.until, until)
+	if p.lease != nil && p.lease.fence == fence {
+		p.lease.until = max(p.lease.until, until)
 		return
 	}
-	if p.tenure != nil && fence < p.tenure.fence {
+	if p.lease != nil && fence < p.lease.fence {
 		return
 	}
-	p.forgetFlights()
-	p.tenure = &tenure{fence: fence, since: since, until: until}
+	p.clearInFlight()
+	p.lease = &roleLease{fence: fence, since: since, until: until}
 }
 
-// Lose says that this VM doesn't hold the role any more.
+// Lose records that this VM no longer holds the role.
 func (p *Planner) Lose() {
-	p.tenure = nil
-	p.forgetFlights()
+	p.lease = nil
+	p.clearInFlight()
 }
 
-// forgetFlights drops what was under way: whoever holds the role next reads the
-// servers, and so does this VM when it holds it again.
-func (p *Planner) forgetFlights() {
+// clearInFlight drops all in-flight orders. The next holder of the role reads
+// the servers, as does this VM if it acquires the role again.
+func (p *Planner) clearInFlight() {
 	for _, s := range p.servers {
-		s.flight = nil
+		s.inFlight = nil
 	}
 }
 
-// Plan decides what to do now. It must be called when something changed, and
-// about once a second.
+// Plan decides what to do now. It must be called after each change, and about
+// once a second.
 func (p *Planner) Plan(now time.Duration) Decision {
 	var d Decision
-	p.settle(now)
-	p.substitute(now)
-	if p.tenure != nil && now < p.tenure.until {
-		p.order(now, &d)
+	p.reconcileOrders(now)
+	p.updateSubstitutes(now)
+	if p.lease != nil && now < p.lease.until {
+		p.planOrders(now, &d)
 	}
 	status := p.status(now)
-	if !reflect.DeepEqual(status, p.last) {
-		p.last = status
+	if !reflect.DeepEqual(status, p.lastStatus) {
+		p.lastStatus = status
 		d.Status = &status
 	}
 	return d
 }
 
-// order gives the orders that are due, those that close a gap first.
-func (p *Planner) order(now time.Duration, d *Decision) {
-	for _, s := range p.byUrgency() {
-		if s.flight != nil {
-			p.watch(now, s, d)
+// planOrders adds the orders that are due, those that close a coverage gap
+// first.
+func (p *Planner) planOrders(now time.Duration, d *Decision) {
+	for _, s := range p.byPriority() {
+		if s.inFlight != nil {
+			p.followOrder(now, s, d)
 			continue
 		}
-		why := p.obstacle(now, s)
-		if why == obstacleUnread || !p.sure(s) && now > p.quietUntil(s) {
-			p.read(now, s, d)
+		reason := p.blockedBy(now, s)
+		if reason == blockerNeedsRead || !p.confirmed(s) && now > p.lateOrdersUntil(s) {
+			p.requestRead(now, s, d)
 		}
-		if why != obstacleNone {
+		if reason != blockerNone {
 			continue
 		}
-		p.orders++
+		p.orderCount++
 		next := p.nextOrder(s)
-		next.ID = fmt.Sprintf("%s-%d-%d", p.options.DataCentre, p.tenure.fence, p.orders)
-		next.Fence = p.tenure.fence
-		s.flight = &flight{order: next, state: Ordered, since: now, incarnation: s.direct.Incarnation}
+		next.ID = fmt.Sprintf("%s-%d-%d", p.options.DataCentre, p.lease.fence, p.orderCount)
+		next.Fence = p.lease.fence
+		s.inFlight = &inFlightOrder{order: next, state: Ordered, sentAt: now, incarnation: s.directReport.Incarnation}
 		if next.Kind == OrderLoad {
-			s.flight.layers = s.direct.Held.missing(next.Holding)
+			s.inFlight.layers = s.directReport.Held.missingLayers(next.Holding)
 		}
 		d.Orders = append(d.Orders, next)
 	}
 }
 
-// byUrgency lists the servers: substitutes first, then in order of name.
-func (p *Planner) byUrgency() []*server {
-	substitutes := make(map[string]bool, len(p.instead))
-	for _, substitute := range p.instead {
+// byPriority lists the servers: substitutes first, then by name.
+func (p *Planner) byPriority() []*server {
+	substitutes := make(map[string]bool, len(p.substitutes))
+	for _, substitute := range p.substitutes {
 		substitutes[substitute] = true
 	}
 	names := slices.Sorted(maps.Keys(p.servers))
@@ -204,22 +209,22 @@
 	return 1
 }
 
-// read asks for a direct report, at a bounded rate.
-func (p *Planner) read(now time.Duration, s *server, d *Decision) {
-	if !s.up || len(d.Reads) >= p.options.Reads || s.readAt > 0 && now < s.readAt+p.options.ReadEvery {
+// requestRead requests a direct report, at a limited rate.
+func (p *Planner) requestRead(now time.Duration, s *server, d *Decision) {
+	if !s.available || len(d.Reads) >= p.options.MaxReads || s.lastReadAt > 0 && now < s.lastReadAt+p.options.ReadInterval {
 		return
 	}
-	s.readAt = now
-	d.Reads = append(d.Reads, s.record.Name)
+	s.lastReadAt = now
+	d.Reads = append(d.Reads, s.config.Name)
 }
 
-// wanted is what a server should hold now: its record's holding, or that of the
-// lost server for which it stands in.
-func (p *Planner) wanted(s *server) Holding {
-	if lost := p.standsInFor(s); lost != "" {
-		want := p.servers[lost].record.Want
-		want.Role = s.record.Want.Role
-		return want
+// desired is the placement that a server should have now: its configured one, or
+// that of the lost server that it replaces.
+func (p *Planner) desired(s *server) Holding {
+	if lost := p.lostServerOf(s); lost != "" {
+		desired := p.servers[lost].config.Want
+		desired.Role = s.config.Want.Role
+		return desired
 	}
-	return s.record.Want
+	return s.config.Want
 }
--- a/internal/core/place/status.go
+++ b/internal/core/place/status.go
@@ -9,7 +9,7 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// String describes a holding in a few words.
+// String returns a short description of a placement.
 func (h Holding) String() string {
 	if h.Model == "" {
 		return "nothing"
@@ -17,24 +17,24 @@
 	return fmt.Sprintf("%s %s %v", h.Model, h.Version, h.Layers)
 }
 
-// String describes a change in one line.
+// String returns a one-line description of a change.
 func (c Change) String() string {
 	text := fmt.Sprintf("%s: %s -> %s", c.Server, c.From, c.To)
-	if c.Instead != "" {
-		text += ", instead of " + c.Instead
+	if c.Replaces != "" {
+		text += ", instead of " + c.Replaces
 	}
 	text += ", " + string(c.State)
-	if c.Why != "" {
-		text += ": " + c.Why
+	if c.Reason != "" {
+		text += ": " + c.Reason
 	}
-	if c.Expected > 0 {
-		text += fmt.Sprintf(", takes about %v", c.Expected.Round(time.Second))
+	if c.ExpectedDuration > 0 {
+		text += fmt.Sprintf(", takes about %v", c.ExpectedDuration.Round(time.Second))
 	}
 	return text
 }
 
 func (p *Planner) status(now time.Duration) Status {
-	status := Status{DataCentre: p.options.DataCentre, Holder: p.tenure != nil && now < p.tenure.until}
+	status := Status{DataCentre: p.options.DataCentre, Holder: p.lease != nil && now < p.lease.until}
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
 		if change, ok := p.change(now, p.servers[name]); ok {
 			status.Changes = append(status.Changes, change)
@@ -46,55 +46,55 @@
 	return status
 }
 
-// change describes a server that does not hold what its record says. Of one
-// that has not been read yet nothing is said: after a start, or a change of the
-// role, that would be every server, most of them in order.
+// change describes a server that differs from its configured placement. Servers
+// that have not been read yet are left out: after a start or a change of the
+// lease holder that would be every server, although most need no change.
 func (p *Planner) change(now time.Duration, s *server) (Change, bool) {
-	why := p.obstacle(now, s)
-	lost := p.standsInFor(s)
-	settled := s.flight == nil && why == obstacleSettled
-	if settled && lost == "" || s.report == nil && s.flight == nil {
+	reason := p.blockedBy(now, s)
+	lost := p.lostServerOf(s)
+	upToDate := s.inFlight == nil && reason == blockerSatisfied
+	if upToDate && lost == "" || s.report == nil && s.inFlight == nil {
 		return Change{}, false
 	}
-	want := p.wanted(s)
-	change := Change{Server: s.record.Name, Model: want.Model, From: "not known", To: want.String(), Instead: lost, State: Waiting, Why: string(why)}
+	desired := p.desired(s)
+	change := Change{Server: s.config.Name, Model: desired.Model, From: "not known", To: desired.String(), Replaces: lost, State: Pending, Reason: string(reason)}
 	if s.report != nil {
 		change.From = s.report.Held.String()
 	}
 	switch {
-	case settled:
-		change.State = StandingIn
-	case s.flight != nil:
-		change.State, change.Why, change.Since = s.flight.state, "", s.flight.since
-		change.Expected = p.expected(s, want)
+	case upToDate:
+		change.State = Substituting
+	case s.inFlight != nil:
+		change.State, change.Reason, change.Since = s.inFlight.state, "", s.inFlight.sentAt
+		change.ExpectedDuration = p.expectedLoadTime(s, desired)
 	default:
-		change.Expected = p.expected(s, want)
+		change.ExpectedDuration = p.expectedLoadTime(s, desired)
 	}
 	return change, true
 }
 
-// standsInFor names the lost server whose part a server has; empty when none.
-func (p *Planner) standsInFor(s *server) string {
-	for _, lost := range slices.Sorted(maps.Keys(p.instead)) {
-		if p.instead[lost] == s.record.Name {
+// lostServerOf returns the lost server that a server replaces, or an empty name.
+func (p *Planner) lostServerOf(s *server) string {
+	for _, lost := range slices.Sorted(maps.Keys(p.substitutes)) {
+		if p.substitutes[lost] == s.config.Name {
 			return lost
 		}
 	}
 	return ""
 }
 
-// gaps lists the layers of a model that the data centre's records ask for and
-// no serving server holds, in neither the wanted version nor another.
+// gaps lists the layers of a model that are configured in the data centre and
+// that no serving server has loaded, in any version.
 func (p *Planner) gaps(model string) []Gap {
 	var gaps []Gap
-	held := p.live(nil)
+	placements := p.servingPlacements(nil)
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
-		want := p.servers[name].record.Want
-		if want.Model != model {
+		desired := p.servers[name].config.Want
+		if desired.Model != model {
 			continue
 		}
-		for _, missing := range uncovered(held, want) {
-			gap := Gap{Model: model, Version: want.Version, Layers: missing, Substitute: p.instead[name]}
+		for _, missing := range uncoveredRanges(placements, desired) {
+			gap := Gap{Model: model, Version: desired.Version, Layers: missing, Substitute: p.substitutes[name]}
 			known := slices.IndexFunc(gaps, func(g Gap) bool { return g.Layers == missing })
 			switch {
 			case known < 0:
@@ -107,11 +107,12 @@
 	return gaps
 }
 
-// uncovered lists the ranges of a holding that have no copy of any version.
-func uncovered(held []Holding, want Holding) []api.Layers {
+// uncoveredRanges lists the ranges of a placement that have no copy of any
+// version.
+func uncoveredRanges(placements []Holding, desired Holding) []api.Layers {
 	var ranges []api.Layers
-	for layer := want.Layers.From; layer < want.Layers.To; layer++ {
-		if slices.ContainsFunc(held, func(h Holding) bool { return h.has(want.Model, h.Version, layer) }) {
+	for layer := desired.Layers.From; layer < desired.Layers.To; layer++ {
+		if slices.ContainsFunc(placements, func(p Holding) bool { return p.hasLayer(desired.Model, p.Version, layer) }) {
 			continue
 		}
 		if n := len(ranges); n > 0 && ranges[n-1].To == layer {
--- a/internal/core/place/types.go
+++ b/internal/core/place/types.go
@@ -1,8 +1,8 @@
 // Package place decides which model, version, layers, adapters and role each
-// backend server of one data centre should hold, and which orders bring it
-// there. It is level-triggered: it compares what is wanted with what was
-// observed and never relies on an order having had its effect. It does no I/O
-// and reads no clock.
+// backend server of one data centre should have, and which orders bring it
+// there. It is level-triggered: it compares the desired state with the observed
+// state and never assumes that an order took effect. It does no I/O and reads no
+// clock.
 package place
 
 import (
@@ -11,7 +11,8 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// Holding is what a backend server holds, or is to hold.
+// Holding is the model, layers, adapters and role that a backend server has
+// loaded, or should load.
 type Holding struct {
 	Model    string     `json:"model,omitempty"`
 	Version  string     `json:"version,omitempty"`
@@ -20,63 +21,64 @@
 	Role     string     `json:"role,omitempty"`
 }
 
-// sameWeights tells whether two holdings need the same weights.
+// sameWeights reports whether two placements need the same weights.
 func (h Holding) sameWeights(other Holding) bool {
 	return h.Model == other.Model && h.Version == other.Version && h.Layers == other.Layers
 }
 
-// has tells whether the holding includes a layer of a version of a model.
-func (h Holding) has(model, version string, layer int) bool {
+// hasLayer reports whether the placement includes a layer of a model version.
+func (h Holding) hasLayer(model, version string, layer int) bool {
 	return h.Model == model && h.Version == version && h.Layers.From <= layer && layer < h.Layers.To
 }
 
-// missing counts the layers that must be loaded to get from h to want.
-func (h Holding) missing(want Holding) int {
-	if h.Model != want.Model || h.Version != want.Version {
-		return want.Layers.Len()
+// missingLayers counts the layers that must be loaded to get from h to desired.
+func (h Holding) missingLayers(desired Holding) int {
+	if h.Model != desired.Model || h.Version != desired.Version {
+		return desired.Layers.Len()
 	}
-	return want.Layers.Len() - h.Layers.Overlap(want.Layers).Len()
+	return desired.Layers.Len() - h.Layers.Overlap(desired.Layers).Len()
 }
 
-// Model is a model as the configuration in force describes it.
+// Model is a model as defined by the configuration in force.
 type Model struct {
 	Layers  int
 	Version string
 }
 
-// Record is a model engine of the data centre as the configuration describes it.
+// Record is a model engine of the data centre as defined by the configuration.
 type Record struct {
 	Name        string
 	Accelerator string
-	// ChecksFencing says that the engine refuses orders with an old fencing number.
+	// ChecksFencing is true if the engine refuses orders with an outdated fencing
+	// number.
 	ChecksFencing bool
-	// Leaving says that the server is to get no new work.
+	// Leaving is true if the server is draining and must get no new work.
 	Leaving bool
-	// Want is what the operator wants the server to hold.
+	// Want is the placement that the operator has configured for the server.
 	Want Holding
 }
 
-// Report is what a backend server said of itself.
+// Report is a backend server's report of its own state.
 type Report struct {
 	Server      string
 	Incarnation uint64
 	Held        Holding
-	// Loading says that an order is being carried out.
+	// Loading is true while the server executes an order.
 	Loading bool
-	// Direct says that the VM read it from the server for a decision on an
-	// order. Other reports lag, and do not know of Loading.
+	// Direct is true if the VM read the report from the server in order to decide
+	// on an order. Other reports may be stale and do not include Loading.
 	Direct bool
-	// At is when the reading began, on the VM's clock: it shows what was true
-	// then or later.
+	// At is when the read began, on the VM's clock. The report shows the state at
+	// that time or later.
 	At time.Duration
 }
 
-// OrderKind says what an order changes.
+// OrderKind is what an order changes.
 type OrderKind string
 
 // The kinds of order.
 const (
-	// OrderLoad replaces the weights held.
+	// OrderLoad replaces the loaded weights.
 	OrderLoad OrderKind = "load"
 	// OrderAdapter adds an adapter.
 	OrderAdapter OrderKind = "adapter"
@@ -84,140 +86,154 @@
 	OrderRole OrderKind = "role"
 )
 
-// Order is one order to one backend server.
+// Order is a single order to a backend server.
 type Order struct {
-	// ID is unique. The same order given again has the same ID.
+	// ID is unique. A resent order keeps its ID.
 	ID     string    `json:"id"`
 	Server string    `json:"server"`
 	Fence  uint64    `json:"fence"`
 	Kind   OrderKind `json:"kind"`
-	// Holding has the fields that the kind changes.
+	// Holding has only the fields that the kind of order changes set.
 	Holding Holding `json:"holding"`
 }
 
-// Result is what came of giving an order.
+// Result is the outcome of sending an order.
 type Result string
 
 // The results of an order.
 const (
-	// Taken: the server is carrying it out.
+	// Taken: the server accepted the order and is executing it.
 	Taken Result = "taken"
-	// Refused: the server did not take it on.
+	// Refused: the server rejected the order.
 	Refused Result = "refused"
-	// Stale: the server knows of a later holder of the role.
+	// Stale: the server has seen the fencing number of a later lease holder.
 	Stale Result = "stale"
-	// Unknown: the answer was lost; the order may be in effect.
+	// Unknown: the response was lost; the order may be in effect.
 	Unknown Result = "unknown"
-	// NotSent: the role was not held any more at the last moment.
+	// NotSent: the role was lost just before the order would have been sent.
 	NotSent Result = "not_sent"
 )
 
-// Options bound the planner.
+// Options are the limits of a Planner.
 type Options struct {
-	// DataCentre is the data centre whose servers it places.
+	// DataCentre is the data centre whose servers are planned.
 	DataCentre string
-	// Loads bounds the loads at once in this data centre: its share of what the
-	// weight store gives the fleet.
-	Loads int
-	// LongestOrder is the longest that an order can be under way, its sender's
-	// own time limit. After a change of holder it is waited out before an order
-	// to a server that ignores fencing numbers.
+	// MaxLoads limits the concurrent loads in this data centre. It is the data
+	// centre's share of the load that the weight store can serve to the fleet.
+	MaxLoads int
+	// LongestOrder is the sender's time limit, and so the longest that an order
+	// can be in flight. After the lease changes holder, the planner waits that
+	// long before it sends an order to a server that ignores fencing numbers.
 	LongestOrder time.Duration
-	// LossGrace is how long a server may be away before its layers are given to another.
+	// LossGrace is how long a server may be unavailable before its layers are
+	// assigned to a substitute.
 	LossGrace time.Duration
-	// Settle is how long a server must be back before its substitute returns.
-	Settle time.Duration
-	// FreshFor is how old a direct report may be when an order is decided on.
-	FreshFor time.Duration
-	// Reads bounds the servers that are read at once.
-	Reads int
-	// ReadEvery is how often a server with an order in flight is read.
-	ReadEvery time.Duration
-	// BackOff is the first wait after a failed order; it doubles up to MaxBackOff.
-	BackOff    time.Duration
-	MaxBackOff time.Duration
-	// LayerTime is the assumed time to load a layer before any was measured.
-	LayerTime time.Duration
+	// ReturnDelay is how long a recovered server must be available before its
+	// substitute returns to its own placement.
+	ReturnDelay time.Duration
+	// MaxReportAge is the maximum age of a direct report on which an order is
+	// based.
+	MaxReportAge time.Duration
+	// MaxReads limits the servers that are read at the same time.
+	MaxReads int
+	// ReadInterval is the minimum time between two reads of a server.
+	ReadInterval time.Duration
+	// Backoff is the delay after a first failed order. It doubles with each
+	// failure up to MaxBackoff.
+	Backoff    time.Duration
+	MaxBackoff time.Duration
+	// InitialLayerTime is the assumed time to load a layer until a load has been
+	// measured.
+	InitialLayerTime time.Duration
 }
 
-// DefaultOptions are the bounds in use.
+// DefaultOptions returns the limits used in production.
 func DefaultOptions(dataCentre string) Options {
 	return Options{
-		DataCentre:   dataCentre,
-		Loads:        2,
-		LongestOrder: 5 * time.Second,
-		LossGrace:    2 * time.Second,
-		Settle:       30 * time.Second,
-		FreshFor:     3 * time.Second,
-		Reads:        32,
-		ReadEvery:    time.Second,
-		BackOff:      2 * time.Second,
-		MaxBackOff:   time.Minute,
-		LayerTime:    time.Second,
+		DataCentre:       dataCentre,
+		MaxLoads:         2,
+		LongestOrder:     5 * time.Second,
+		LossGrace:        2 * time.Second,
+		ReturnDelay:      30 * time.Second,
+		MaxReportAge:     3 * time.Second,
+		MaxReads:         32,
+		ReadInterval:     time.Second,
+		Backoff:          2 * time.Second,
+		MaxBackoff:       time.Minute,
+		InitialLayerTime: time.Second,
 	}
 }
 
-// Decision is what a step of the planner asks for.
+// Decision is the result of a planning step.
 type Decision struct {
-	// Orders are to be given at once, the role being checked again before each.
+	// Orders are to be sent at once. The caller checks that it still holds the
+	// role before it sends each one.
 	Orders []Order
-	// Reads names the servers to read directly.
+	// Reads lists the servers to read directly.
 	Reads []string
-	// Status is set when it changed.
+	// Status is nil if it has not changed.
 	Status *Status
 }
 
-// Status says how the placement stands, for operators.
+// Status is the state of the placement, for operators.
 type Status struct {
 	DataCentre string `json:"dataCentre"`
-	// Holder tells whether this VM gives the orders.
+	// Holder is true if this VM holds the placement role and sends the orders.
 	Holder bool `json:"holder"`
-	// Changes lists the servers that don't hold what they should, by name.
+	// Changes lists the servers that differ from their configured placement, by
+	// name.
 	Changes []Change `json:"changes,omitempty"`
-	// Uncovered lists the layers that no live server of the data centre holds.
+	// Uncovered lists the layers that no serving server of the data centre has
+	// loaded.
 	Uncovered []Gap `json:"uncovered,omitempty"`
 }
 
-// Change is one server on its way from what it holds to what it should hold.
+// Change describes a server on its way from its current to its desired
+// placement.
 type Change struct {
 	Server string `json:"server"`
-	// Model is what it should hold.
+	// Model is the desired model.
 	Model string `json:"model,omitempty"`
 	From  string `json:"from"`
 	To    string `json:"to"`
-	// Instead names the lost server whose part this one takes over.
-	Instead string `json:"instead,omitempty"`
-	State   State  `json:"state"`
-	// Why says what it waits for, and the remedy where an operator has one.
-	Why string `json:"why,omitempty"`
-	// Since is when the order was given, on the VM's clock. 0 before.
+	// Replaces is the lost server whose placement this one takes over.
+	Replaces string `json:"instead,omitempty"`
+	State    State  `json:"state"`
+	// Reason is what the change is blocked by, with the remedy if an operator has
+	// one.
+	Reason string `json:"why,omitempty"`
+	// Since is when the order was sent, on the VM's clock. 0 if none is in
+	// flight.
 	Since time.Duration `json:"since,omitempty"`
-	// Expected is how long the change takes, learned from earlier ones.
-	Expected time.Duration `json:"expected,omitempty"`
+	// ExpectedDuration is how long the change should take, learned from earlier
+	// loads.
+	ExpectedDuration time.Duration `json:"expected,omitempty"`
 }
 
-// State says how far a change has come.
+// State is the progress of a change.
 type State string
 
 // The states of a change.
 const (
-	// Waiting: not ordered yet; Why says what for.
-	Waiting State = "waiting"
-	// Ordered: the order is under way.
+	// Pending: no order was sent yet; Reason says what blocks it.
+	Pending State = "waiting"
+	// Ordered: the order was sent and its result is not known yet.
 	Ordered State = "ordered"
-	// Loading: the server is carrying it out.
+	// Loading: the server is executing the order.
 	Loading State = "loading"
-	// StandingIn: it holds a lost server's part, and returns once that is back.
-	StandingIn State = "standing_in"
-	// Unanswered: the order's answer was lost; the server is being read.
-	Unanswered State = "unanswered"
+	// Substituting: it has the placement of a lost server and returns to its own
+	// once that server has recovered.
+	Substituting State = "standing_in"
+	// Unacknowledged: the response to the order was lost; the server is being
+	// read.
+	Unacknowledged State = "unanswered"
 )
 
-// Gap is a range of layers without a live copy in the data centre.
+// Gap is a range of layers without a serving copy in the data centre.
 type Gap struct {
 	Model   string     `json:"model"`
 	Version string     `json:"version"`
 	Layers  api.Layers `json:"layers"`
-	// Substitute is the server that is to hold them. Empty when none can.
+	// Substitute is the server that is to load them. Empty if none can.
 	Substitute string `json:"substitute,omitempty"`
 }
