--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -1,7 +1,7 @@
-// Package admit decides whether a request starts now, waits or is refused. Each
-// pool of backend servers has a learned limit of concurrent requests and one
-// queue, in which client accounts share the pool in proportion to their
-// weights. Accounts with a rate limit are held to this VM's share of it.
+// Package admit decides whether a request starts now, is queued or is refused.
+// Each pool of backend servers has an adaptive concurrency limit and one queue,
+// in which client accounts share the pool in proportion to their weights. Rate
+// limits of accounts are split between the VMs.
 package admit
 
 import (
@@ -10,19 +10,21 @@
 	"oleandershunt.example/oleandershunt/internal/core/request"
 )
 
-// Options are the settings of a Controller. A zero field takes its default.
+// Options configure a Controller. A zero field takes its default.
 type Options struct {
-	// PerServer is the concurrent requests per backend server that a pool starts from. Default 32.
+	// PerServer is the initial limit of concurrent requests per backend server.
+	// Default 32.
 	PerServer int `json:"perServer,omitempty"`
-	// FloorPerServer is the concurrent requests per backend server, over all
-	// VMs, below which the limit never falls. Default 8.
+	// FloorPerServer is the minimum limit of concurrent requests per backend
+	// server, over all VMs. Default 8.
 	FloorPerServer int `json:"floorPerServer,omitempty"`
-	// MaxLimit bounds the concurrent requests of a pool. Default 8192.
+	// MaxLimit is the maximum limit of concurrent requests of a pool. Default
+	// 8192.
 	MaxLimit int `json:"maxLimit,omitempty"`
-	// MaxQueued bounds the queued requests of a pool. Default 4096.
+	// MaxQueued is the maximum number of queued requests of a pool. Default 4096.
 	MaxQueued int `json:"maxQueued,omitempty"`
-	// Tolerance is how many times its least recent value the latency per unit
-	// of work may reach before the limit falls. Default 2.5.
+	// Tolerance is the factor over its recent minimum that the latency per unit
+	// of work may reach before the limit is lowered. Default 2.5.
 	Tolerance float64 `json:"tolerance,omitempty"`
 }
 
@@ -52,48 +54,52 @@
 	}
 }
 
-// Limits are what an account's record allows it.
+// Limits are the limits of a client account.
 type Limits struct {
-	// Weight is the account's share of a pool relative to others. 0 counts as 1.
+	// Weight is the account's weight in the sharing of a pool. 0 counts as 1.
 	Weight float64
-	// PerSecond bounds the sustained rate over all VMs. 0 means no bound.
+	// PerSecond limits the sustained request rate over all VMs. 0 means
+	// unlimited.
 	PerSecond float64
-	// Burst is the requests that may come at once above the rate. 0 allows one second's worth.
+	// Burst is the number of requests that may arrive at once above the rate. 0
+	// allows one second of the rate.
 	Burst int
 }
 
-// Item is a request that asks to start.
+// Item is a request that asks for admission.
 type Item struct {
 	ID      request.ID
 	Account string
-	// Pool is what the request competes for: one model or one plain service.
+	// Pool names the pool of the request: one model or one plain service.
 	Pool string
 	// Priority orders the requests of one account; higher goes first.
 	Priority int
 	Deadline time.Duration
-	// PromptTokens and MaxTokens estimate the work. 0 when not known.
+	// PromptTokens and MaxTokens serve to estimate the work. 0 if unknown.
 	PromptTokens int
 	MaxTokens    int
-	// Again says that the request took a token of its account's rate before.
+	// Again is true if the request already took a token of its account's rate
+	// limit.
 	Again bool
 }
 
-// Decision is what becomes of an Item.
+// Decision is the result of Offer.
 type Decision struct {
-	// Start: the request holds a slot and may be dispatched.
+	// Start is true if the request got a slot and may be dispatched.
 	Start bool
-	// Reason refuses the request. Empty when it starts or is queued.
+	// Reason is why the request was refused. Empty if it starts or is queued.
 	Reason request.Reason
-	// RetryAfter is when a refused request has a chance.
+	// RetryAfter is when a refused request may be admitted.
 	RetryAfter time.Duration
-	// Wait estimates how long a queued request waits. 0 when it isn't known.
+	// Wait is the estimated time in the queue. 0 if unknown.
 	Wait time.Duration
-	// Evicted are queued requests that had to make room, of an account that
-	// filled more than its share. They are refused as overloaded.
+	// Evicted are queued requests that were removed from a full queue because
+	// their account fills more than its share of it. They are refused as
+	// overloaded.
 	Evicted []Eviction
 }
 
-// Eviction is a queued request that had to leave the queue.
+// Eviction is a queued request that was removed from the queue.
 type Eviction struct {
 	ID         request.ID
 	RetryAfter time.Duration
@@ -103,40 +109,40 @@
 type Controller struct {
 	options  Options
 	pools    map[string]*pool
-	items    map[request.ID]*item
-	accounts accounts
+	items    map[request.ID]*trackedRequest
+	accounts accountTable
 	sequence uint64
 }
 
-// item is a request that waits for a slot or holds one.
-type item struct {
+// trackedRequest is a request that is queued or holds a slot.
+type trackedRequest struct {
 	Item
 	flow     *flow
 	sequence uint64
-	// index is the place in the flow's queue.
-	index   int
-	cost    float64
-	started bool
-	startAt time.Duration
+	// heapIndex is the request's index in the flow's queue.
+	heapIndex int
+	cost      float64
+	started   bool
+	startedAt time.Duration
 }
 
-// New makes a controller without pools; they come with the first request.
+// New returns a controller without pools. They are created on first use.
 func New(options Options) *Controller {
 	return &Controller{
 		options:  options.withDefaults(),
 		pools:    make(map[string]*pool),
-		items:    make(map[request.ID]*item),
-		accounts: newAccounts(),
+		items:    make(map[request.ID]*trackedRequest),
+		accounts: newAccountTable(),
 	}
 }
 
-// SetServers tells how many backend servers a pool has.
+// SetServers sets the number of backend servers of a pool.
 func (c *Controller) SetServers(name string, servers int) {
 	c.pool(name).limiter.setServers(servers, c.accounts.liveVMs)
 }
 
-// Offer asks to start a request. Every request that starts or is queued must
-// be ended by Done or Remove.
+// Offer requests admission. The caller must call Done or Remove for every
+// request that starts or is queued.
 func (c *Controller) Offer(now time.Duration, offered Item, limits Limits) Decision {
 	account := c.accounts.touch(now, offered.Account, limits)
 	if !offered.Again {
@@ -145,72 +151,73 @@
 		}
 	}
 	p := c.pool(offered.Pool)
-	it := &item{Item: offered, cost: p.estimate(offered), sequence: c.sequence}
+	r := &trackedRequest{Item: offered, cost: p.estimateCost(offered), sequence: c.sequence}
 	c.sequence++
-	it.flow = p.flow(offered.Account, weight(limits))
+	r.flow = p.flow(offered.Account, weight(limits))
 	if p.queued == 0 && p.hasSlot() {
-		c.items[offered.ID] = it
-		p.startDirectly(now, it)
+		c.items[offered.ID] = r
+		p.startDirectly(now, r)
 		return Decision{Start: true}
 	}
-	decision := c.enqueue(now, p, it)
+	decision := c.enqueue(now, p, r)
 	if decision.Reason != "" {
 		account.returnToken()
-		p.dropIdle(it.flow)
+		p.dropIdleFlows(r.flow)
 	}
 	return decision
 }
 
-func (c *Controller) enqueue(now time.Duration, p *pool, it *item) Decision {
-	wait := p.wait(now, it.flow)
-	if refuse, retryAfter := p.tooLate(now, wait, it.Deadline); refuse {
+func (c *Controller) enqueue(now time.Duration, p *pool, r *trackedRequest) Decision {
+	wait := p.estimateWait(now, r.flow)
+	if refuse, retryAfter := p.missesDeadline(now, wait, r.Deadline); refuse {
 		return Decision{Reason: request.ReasonOverloaded, RetryAfter: retryAfter}
 	}
 	decision := Decision{Wait: wait}
 	if p.queued >= c.options.MaxQueued {
 		longest := p.longestFlow()
-		if !longest.longerThan(it.flow) {
+		if !longest.longerThan(r.flow) {
 			return Decision{Reason: request.ReasonOverloaded, RetryAfter: max(wait, minRetryAfter)}
 		}
-		evicted := longest.last()
+		evicted := longest.evictionCandidate()
 		p.remove(evicted)
 		delete(c.items, evicted.ID)
-		decision.Evicted = []Eviction{{ID: evicted.ID, RetryAfter: max(p.wait(now, longest), minRetryAfter)}}
+		decision.Evicted = []Eviction{{ID: evicted.ID, RetryAfter: max(p.estimateWait(now, longest), minRetryAfter)}}
 	}
-	c.items[it.ID] = it
-	p.enqueue(it)
+	c.items[r.ID] = r
+	p.enqueue(r)
 	return decision
 }
 
-// Remove forgets a request that leaves the queue: its caller has gone or its
+// Remove removes a queued request whose caller has disconnected or whose
 // deadline has passed. Requests that hold a slot end with Done.
 func (c *Controller) Remove(id request.ID) {
-	it, ok := c.items[id]
-	if !ok || it.started {
+	r, ok := c.items[id]
+	if !ok || r.started {
 		return
 	}
 	delete(c.items, id)
-	p := c.pools[it.Pool]
-	p.remove(it)
-	p.dropIdle(it.flow)
+	p := c.pools[r.Pool]
+	p.remove(r)
+	p.dropIdleFlows(r.flow)
 }
 
-// Done frees the slot of a request that ended after it delivered some tokens.
-// Learn says that its time tells of the servers' load.
+// Done frees the slot of a request that ended after it delivered some tokens. If
+// learn is true, its duration is used to measure the servers' load.
 func (c *Controller) Done(now time.Duration, id request.ID, tokens int, learn bool) {
-	it, ok := c.items[id]
+	r, ok := c.items[id]
 	if !ok {
 		return
 	}
-	if !it.started {
+	if !r.started {
 		c.Remove(id)
 		return
 	}
 	delete(c.items, id)
-	c.pools[it.Pool].finish(now, it, tokens, learn)
+	c.pools[r.Pool].finish(now, r, tokens, learn)
 }
 
-// Next starts queued requests while there are slots, fairest first, and returns them.
+// Next starts queued requests while slots are free, in the order of fair
+// queueing, and returns them.
 func (c *Controller) Next(now time.Duration, poolName string) []request.ID {
 	p, ok := c.pools[poolName]
 	if !ok {
@@ -231,27 +238,27 @@
 	}
 	f, ok := p.flows[account]
 	if !ok {
-		f = &flow{weight: 1, index: notInHeap}
+		f = &flow{weight: 1, heapIndex: notInHeap}
 	}
-	return max(p.wait(now, f), minRetryAfter)
+	return max(p.estimateWait(now, f), minRetryAfter)
 }
 
-// Report takes a backend server's own count of streams in its batch and queue.
+// Report handles a backend server's own count of running and waiting streams.
 func (c *Controller) Report(now time.Duration, poolName, server string, running, waiting int) {
 	if p, ok := c.pools[poolName]; ok {
 		p.limiter.report(now, server, running, waiting)
 	}
 }
 
-// ServerRefused counts a dispatch that a server refused before any work.
+// ServerRefused counts a dispatch that a server refused before it did any work.
 func (c *Controller) ServerRefused(poolName string) {
 	if p, ok := c.pools[poolName]; ok {
 		p.limiter.refused++
 	}
 }
 
-// Pool is the state of a pool: its limit of requests in flight, those in flight,
-// those queued, and the client accounts with a flow.
+// Pool is the state of a pool: its concurrency limit, the requests in flight,
+// the queued requests, and the client accounts with a flow.
 type Pool struct {
 	Limit, InFlight, Queued, Accounts int
 }
@@ -265,7 +272,7 @@
 	return Pool{Limit: int(p.limiter.limit), InFlight: p.inFlight, Queued: p.queued, Accounts: len(p.flows)}
 }
 
-// Accounts is the number of accounts held in memory.
+// Accounts returns the number of accounts kept in memory.
 func (c *Controller) Accounts() int { return len(c.accounts.byName) }
 
 func (c *Controller) pool(name string) *pool {
--- a/internal/core/admit/admit_bench_test.go
+++ b/internal/core/admit/admit_bench_test.go
@@ -11,8 +11,8 @@
 	"oleandershunt.example/oleandershunt/internal/testutil"
 )
 
-// BenchmarkAdmit offers and ends one request at a time, of accounts in turn,
-// while the pool is full and its queue holds as many as it may.
+// BenchmarkAdmit offers and ends one request at a time, from alternating
+// accounts, while the pool and its queue are full.
 func BenchmarkAdmit(b *testing.B) {
 	for _, accounts := range []int{10, 1000, 31000} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
@@ -50,8 +50,7 @@
 	}
 }
 
-// BenchmarkAccountMemory reports the bytes that one account with recent
-// requests takes.
+// BenchmarkAccountMemory reports the memory per account with recent requests.
 func BenchmarkAccountMemory(b *testing.B) {
 	const accounts = 31000
 	for range b.N {
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -14,17 +14,17 @@
 
 const pool = "model/m"
 
-// engine is the fake behind a controller: so many streams at once, each for a
-// fixed time, and a queue of its own for the rest.
+// engine is a fake engine: a fixed number of slots, a fixed service time, and a
+// queue of its own for the other streams.
 type engine struct {
-	slots   int
-	serve   time.Duration
-	tokens  int
-	running []ending
-	waiting []request.ID
+	slots       int
+	serviceTime time.Duration
+	tokens      int
+	running     []completion
+	waiting     []request.ID
 }
 
-type ending struct {
+type completion struct {
 	at time.Duration
 	id request.ID
 }
@@ -34,11 +34,11 @@
 		e.waiting = append(e.waiting, id)
 		return
 	}
-	e.running = append(e.running, ending{now + e.serve, id})
+	e.running = append(e.running, completion{now + e.serviceTime, id})
 }
 
-// until ends the streams that are due, oldest first.
-func (e *engine) until(now time.Duration, done func(at time.Duration, id request.ID)) {
+// completeUntil ends the streams that are due, oldest first.
+func (e *engine) completeUntil(now time.Duration, done func(at time.Duration, id request.ID)) {
 	for len(e.running) > 0 && e.running[0].at <= now {
 		first := e.running[0]
 		e.running = e.running[1:]
@@ -51,20 +51,20 @@
 	}
 }
 
-// load runs a controller before the fake engine.
-type load struct {
-	controller *admit.Controller
-	engine     engine
-	report     bool
-	arrived    map[request.ID]time.Duration
-	account    map[request.ID]string
-	waits      map[string][]time.Duration
-	refused    map[string]int
-	done       int
+// loadTest runs a controller in front of the fake engine.
+type loadTest struct {
+	controller  *admit.Controller
+	engine      engine
+	reportsLoad bool
+	arrived     map[request.ID]time.Duration
+	account     map[request.ID]string
+	waits       map[string][]time.Duration
+	refused     map[string]int
+	done        int
 }
 
-func newLoad(options admit.Options, e engine) *load {
-	l := &load{
+func newLoadTest(options admit.Options, e engine) *loadTest {
+	l := &loadTest{
 		controller: admit.New(options), engine: e,
 		arrived: map[request.ID]time.Duration{}, account: map[request.ID]string{},
 		waits: map[string][]time.Duration{}, refused: map[string]int{},
@@ -73,13 +73,13 @@
 	return l
 }
 
-func (l *load) begin(now time.Duration, id request.ID) {
+func (l *loadTest) begin(now time.Duration, id request.ID) {
 	name := l.account[id]
 	l.waits[name] = append(l.waits[name], now-l.arrived[id])
 	l.engine.start(now, id)
 }
 
-func (l *load) arrive(now time.Duration, id request.ID, account string, deadline time.Duration) {
+func (l *loadTest) arrive(now time.Duration, id request.ID, account string, deadline time.Duration) {
 	l.advance(now)
 	l.arrived[id], l.account[id] = now, account
 	item := admit.Item{ID: id, Account: account, Pool: pool, Deadline: now + deadline}
@@ -95,10 +95,10 @@
 	}
 }
 
-func (l *load) advance(now time.Duration) {
-	l.engine.until(now, func(at time.Duration, id request.ID) {
+func (l *loadTest) advance(now time.Duration) {
+	l.engine.completeUntil(now, func(at time.Duration, id request.ID) {
 		l.done++
-		if l.report {
+		if l.reportsLoad {
 			l.controller.Report(at, pool, "s1", len(l.engine.running), len(l.engine.waiting))
 		}
 		l.controller.Done(at, id, l.engine.tokens, true)
@@ -108,14 +108,13 @@
 	})
 }
 
-// Symptom: the requests of small accounts wait or are refused while one large
-// account takes everything. Sequence: for a minute one account sends twelve
-// times what the servers hold, and ten small accounts one request a second
-// each. Cause: a queue, or its bound, that doesn't know accounts.
-func TestOneLargeAccountCannotPushOutTenSmallOnes(t *testing.T) {
+// Guards against starvation of small accounts, by the order of the queue or by
+// its limit: for a minute one account sends twelve times the servers' capacity,
+// and ten small accounts send one request a second each.
+func TestLargeAccountDoesNotStarveSmallAccounts(t *testing.T) {
 	g := NewWithT(t)
 	options := admit.Options{PerServer: 16, FloorPerServer: 16, MaxLimit: 16, MaxQueued: 64}
-	l := newLoad(options, engine{slots: 16, serve: 400 * time.Millisecond, tokens: 20})
+	l := newLoadTest(options, engine{slots: 16, serviceTime: 400 * time.Millisecond, tokens: 20})
 	for i := range 60 * 480 {
 		now := time.Duration(i) * time.Second / 480
 		l.arrive(now, request.ID(fmt.Sprint("big-", i)), "big", time.Minute)
@@ -131,20 +130,19 @@
 		g.Expect(l.waits[name]).To(HaveLen(60), name)
 		g.Expect(slices.Max(l.waits[name])).To(BeNumerically("<=", 400*time.Millisecond), name)
 	}
-	g.Expect(len(l.waits["big"])).To(BeNumerically(">", 60*30*9/10), "the large account has the rest of 40 a second")
+	g.Expect(len(l.waits["big"])).To(BeNumerically(">", 60*30*9/10), "the large account gets the rest of 40 a second")
 }
 
-// Symptom: throughput falls under overload, or engines queue what the VM should
-// hold back. Sequence: 1.2 times what the engine holds is offered for two
-// minutes; the limit starts far too low or far too high. Cause: a limit that
-// doesn't follow what the servers hold.
-func TestLimitFindsWhatTheServersHold(t *testing.T) {
+// Guards against lost throughput or long engine queues under overload: 1.2 times
+// the engine's capacity is offered for two minutes, and the limit starts far too
+// low or far too high.
+func TestLimitConvergesToServerCapacity(t *testing.T) {
 	for name, start := range map[string]int{"too low": 8, "too high": 400} {
 		for _, report := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, ", reported ", report), func(t *testing.T) {
 				g := NewWithT(t)
-				l := newLoad(admit.Options{PerServer: start}, engine{slots: 64, serve: time.Second, tokens: 50})
-				l.report = report
+				l := newLoadTest(admit.Options{PerServer: start}, engine{slots: 64, serviceTime: time.Second, tokens: 50})
+				l.reportsLoad = report
 				const perSecond = 77 // 1.2 times 64 slots of a second
 				half := 0
 				for i := range 120 * perSecond {
@@ -154,25 +152,25 @@
 					}
 					l.arrive(now, request.ID(fmt.Sprint(i)), "a", 30*time.Second)
 				}
-				held := float64(l.done-half) / (60 * 64)
+				utilisation := float64(l.done-half) / (60 * 64)
 				limit := l.controller.Pool(pool).Limit
-				t.Logf("held %.3f of the bound, limit %d for 64 slots", held, limit)
-				g.Expect(held).To(BeNumerically(">=", 0.95))
+				t.Logf("used %.3f of the capacity, limit %d for 64 slots", utilisation, limit)
+				g.Expect(utilisation).To(BeNumerically(">=", 0.95))
 				g.Expect(limit).To(BeNumerically("<=", 3*64))
 			})
 		}
 	}
 }
 
-// Symptom: callers are refused at their deadline after a long wait, or come
-// back when Retry-After says and are refused again. Sequence: a queue that
-// takes ten seconds to drain and a request with five. Cause: an estimate that
-// isn't measured.
-func TestRetryAfterIsWhenThereIsRoom(t *testing.T) {
+// Guards against requests that are queued past their deadline, and against a
+// Retry-After that is too short: the queue takes ten seconds to drain, and the
+// request has five.
+func TestRetryAfterPredictsFreeCapacity(t *testing.T) {
 	g := NewWithT(t)
 	options := admit.Options{PerServer: 8, FloorPerServer: 8, MaxLimit: 8}
-	l := newLoad(options, engine{slots: 8, serve: 500 * time.Millisecond, tokens: 10})
-	// 16 a second are served; let the rate be measured, then queue 160 more.
+	l := newLoadTest(options, engine{slots: 8, serviceTime: 500 * time.Millisecond, tokens: 10})
+	// 16 requests a second are served. Let the rate be measured, then queue 160
+	// more.
 	for i := range 20 * 16 {
 		l.arrive(time.Duration(i)*time.Second/16, request.ID(fmt.Sprint("warm-", i)), "a", time.Minute)
 	}
@@ -184,18 +182,17 @@
 	g.Expect(decision.Reason).To(Equal(request.ReasonOverloaded))
 	g.Expect(decision.RetryAfter).To(BeNumerically("~", 5500*time.Millisecond, time.Second))
 
-	again := 20*time.Second + decision.RetryAfter
-	l.advance(again)
-	item.Deadline = again + 5*time.Second
-	decision = l.controller.Offer(again, item, admit.Limits{})
-	g.Expect(decision.Reason).To(BeEmpty(), "it has room when Retry-After said")
+	retryAt := 20*time.Second + decision.RetryAfter
+	l.advance(retryAt)
+	item.Deadline = retryAt + 5*time.Second
+	decision = l.controller.Offer(retryAt, item, admit.Limits{})
+	g.Expect(decision.Reason).To(BeEmpty(), "it is admitted after Retry-After")
 }
 
-// Symptom: an account gets its limit once per VM, or much less than its limit.
-// Sequence: an account limited to 90 a second sends 200 a second, spread over
-// three VMs unevenly, then all through one. Cause: shares that don't follow
-// where the requests arrive.
-func TestLimitHoldsOverAllVMs(t *testing.T) {
+// Guards against granting the whole rate limit on every VM, or much less than
+// the limit in total: an account limited to 90 a second sends 200 a second,
+// spread unevenly over three VMs and then all to one.
+func TestRateLimitIsEnforcedAcrossVMs(t *testing.T) {
 	g := NewWithT(t)
 	limits := admit.Limits{PerSecond: 90, Burst: 30}
 	run := func(shares [3]int) float64 {
@@ -241,38 +238,36 @@
 	}
 }
 
-// Symptom: a VM's memory grows with every account that ever called. Sequence:
-// 31,000 accounts call once while one goes on. Cause: state that is never
-// forgotten.
-func TestOnlyActiveAccountsAreHeld(t *testing.T) {
+// Guards against memory growing with every account that ever called: 31,000
+// accounts call once while one stays active.
+func TestIdleAccountsAreEvicted(t *testing.T) {
 	g := NewWithT(t)
 	c := admit.New(admit.Options{MaxLimit: 8192, PerServer: 8192})
 	now := time.Duration(0)
-	one := func(account string, i int) {
+	sendOne := func(account string, i int) {
 		id := request.ID(fmt.Sprint(account, i))
 		g.Expect(c.Offer(now, admit.Item{ID: id, Account: account, Pool: pool, Deadline: time.Hour}, admit.Limits{}).Start).To(BeTrue())
 		c.Done(now, id, 10, true)
 	}
-	hold := admit.Item{ID: "held", Account: "holder", Pool: pool, Deadline: time.Hour}
-	g.Expect(c.Offer(now, hold, admit.Limits{}).Start).To(BeTrue())
+	longRunning := admit.Item{ID: "held", Account: "holder", Pool: pool, Deadline: time.Hour}
+	g.Expect(c.Offer(now, longRunning, admit.Limits{}).Start).To(BeTrue())
 	for i := range 31000 {
-		one(fmt.Sprint("account-", i), i)
+		sendOne(fmt.Sprint("account-", i), i)
 		now += time.Millisecond
 	}
 	g.Expect(c.Accounts()).To(Equal(31001))
 	for i := range 40000 {
-		one("steady", i)
+		sendOne("steady", i)
 		now += 5 * time.Millisecond
 	}
 	g.Expect(c.Accounts()).To(Equal(1))
 	g.Expect(c.Pool(pool).Accounts).To(BeNumerically("<=", 2))
 }
 
-// Symptom: an account with long answers gets far more of a pool than its
-// share. Sequence: two accounts, of weights 1 and 3, both always queued; the
-// answers of the first are four times as long. Cause: sharing by requests
-// instead of by work.
-func TestSharesAreOfWorkByWeight(t *testing.T) {
+// Guards against sharing by requests instead of by work: two accounts of weights
+// 1 and 3 always have queued requests, and the answers of the first are four
+// times as long.
+func TestPoolIsSharedByWorkAndWeight(t *testing.T) {
 	g := NewWithT(t)
 	c := admit.New(admit.Options{PerServer: 8, FloorPerServer: 8, MaxLimit: 8})
 	weights := map[string]float64{"light": 1, "heavy": 3}
--- a/internal/core/admit/flow.go
+++ b/internal/core/admit/flow.go
@@ -1,26 +1,25 @@
 package admit
 
-// notInHeap is the index of a flow without queued requests.
+// notInHeap is the heapIndex of a flow without queued requests.
 const notInHeap = -1
 
-// flow is one account's requests in one pool.
+// flow is the requests of one account in one pool.
 type flow struct {
 	account  string
 	weight   float64
-	queue    itemHeap
+	queue    requestHeap
 	inFlight int
-	// start is the virtual start time of the flow's next request, and finish
-	// that of the one after.
-	start, finish float64
-	// index is the flow's place in the pool's backlog.
-	index int
-	// place is the flow's place in the pool's list of all flows.
-	place int
+	// virtualStart is the virtual start time of the flow's next request, and
+	// virtualFinish that of the one after it.
+	virtualStart, virtualFinish float64
+	// heapIndex is the flow's index in the pool's backlog.
+	heapIndex int
+	// listIndex is the flow's index in the pool's list of all flows.
+	listIndex int
 }
 
-// longerThan compares the queued requests of two flows for their weights. Equal
-// flows are ordered by account, so that the choice between them is the same on
-// each replay.
+// longerThan compares the numbers of queued requests relative to the weights.
+// Ties are broken by account, so that a replay makes the same choice.
 func (f *flow) longerThan(other *flow) bool {
 	a := float64(len(f.queue)) / f.weight
 	b := float64(len(other.queue)) / other.weight
@@ -30,76 +29,76 @@
 	return a > b
 }
 
-// last is the request to leave first when the queue is full: the newest among
-// those of the lowest priority.
-func (f *flow) last() *item {
-	last := f.queue[0]
-	for _, it := range f.queue[1:] {
-		if last.before(it) {
-			last = it
+// evictionCandidate returns the request to remove first when the queue is full:
+// the newest of those with the lowest priority.
+func (f *flow) evictionCandidate() *trackedRequest {
+	candidate := f.queue[0]
+	for _, r := range f.queue[1:] {
+		if candidate.before(r) {
+			candidate = r
 		}
 	}
-	return last
+	return candidate
 }
 
-// before tells whether a request of the same flow starts first.
-func (i *item) before(other *item) bool {
-	if i.Priority != other.Priority {
-		return i.Priority > other.Priority
+// before reports whether a request starts before another of the same flow.
+func (r *trackedRequest) before(other *trackedRequest) bool {
+	if r.Priority != other.Priority {
+		return r.Priority > other.Priority
 	}
-	return i.sequence < other.sequence
+	return r.sequence < other.sequence
 }
 
-// itemHeap holds one flow's queued requests, the next to start first. It
+// requestHeap is a flow's queue, with the next request to start at the top. It
 // implements heap.Interface.
-type itemHeap []*item
+type requestHeap []*trackedRequest
 
-func (h itemHeap) Len() int           { return len(h) }
-func (h itemHeap) Less(i, j int) bool { return h[i].before(h[j]) }
-func (h itemHeap) Swap(i, j int) {
+func (h requestHeap) Len() int           { return len(h) }
+func (h requestHeap) Less(i, j int) bool { return h[i].before(h[j]) }
+func (h requestHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index = i
-	h[j].index = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
-func (h *itemHeap) Push(x any) {
-	it := x.(*item)
-	it.index = len(*h)
-	*h = append(*h, it)
+func (h *requestHeap) Push(x any) {
+	r := x.(*trackedRequest)
+	r.heapIndex = len(*h)
+	*h = append(*h, r)
 }
 
 // Pop implements heap.Interface.
-func (h *itemHeap) Pop() any {
+func (h *requestHeap) Pop() any {
 	last := len(*h) - 1
-	it := (*h)[last]
+	r := (*h)[last]
 	(*h)[last] = nil
 	*h = (*h)[:last]
-	return it
+	return r
 }
 
-// flowHeap holds the flows with queued requests, the one to be served next
-// first. It implements heap.Interface.
+// flowHeap holds the flows with queued requests, with the next to be served at
+// the top. It implements heap.Interface.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
 func (h flowHeap) Less(i, j int) bool {
-	if h[i].start != h[j].start {
-		return h[i].start < h[j].start
+	if h[i].virtualStart != h[j].virtualStart {
+		return h[i].virtualStart < h[j].virtualStart
 	}
 	return h[i].account < h[j].account
 }
 
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index = i
-	h[j].index = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.index = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 
@@ -108,7 +107,7 @@
 	last := len(*h) - 1
 	f := (*h)[last]
 	(*h)[last] = nil
-	f.index = notInHeap
+	f.heapIndex = notInHeap
 	*h = (*h)[:last]
 	return f
 }
--- a/internal/core/admit/limiter.go
+++ b/internal/core/admit/limiter.go
@@ -7,56 +7,59 @@
 )
 
 const (
-	// windowTime and windowSamples are the least of a window in which the
-	// limiter judges; a window also ends after windowLongest.
-	windowTime    = 500 * time.Millisecond
-	windowLongest = 2 * time.Second
-	windowSamples = 8
-	// baselineSpans spans of baselineTime are looked back for the least latency,
-	// which counts as uncongested. The time is long, since a lasting overload
-	// would otherwise become the measure of itself.
+	// minWindow and minWindowSamples are the minimum duration and number of
+	// samples of a measurement window. A window also ends after maxWindow.
+	minWindow        = 500 * time.Millisecond
+	maxWindow        = 2 * time.Second
+	minWindowSamples = 8
+	// The baseline is the minimum latency of the last baselineSpans spans of
+	// baselineSpan each. It counts as uncongested. It covers a long time, since a
+	// lasting overload would otherwise become its own baseline.
 	baselineSpans = 60
-	baselineTime  = 10 * time.Second
-	// decrease is the factor by which congestion lowers the limit.
-	decrease = 0.9
-	// throughputGain is the gain that excuses a higher latency: batches grow.
-	throughputGain = 1.05
-	// waitingShare is the part of a pool's streams in engines' queues that shows congestion.
-	waitingShare = 0.25
-	// refusedShare is the part of dispatches refused by servers that shows congestion.
-	refusedShare = 0.1
-	// reportFresh is how long a server's report counts.
-	reportFresh = 3 * time.Second
-	// minLimit is the least limit of a pool.
+	baselineSpan  = 10 * time.Second
+	// decreaseFactor is the factor by which congestion lowers the limit.
+	decreaseFactor = 0.9
+	// minThroughputGain is the factor by which throughput must grow to justify a
+	// higher latency, as when batches grow.
+	minThroughputGain = 1.05
+	// maxWaitingShare is the fraction of a pool's streams in engines' queues
+	// above which the servers count as congested.
+	maxWaitingShare = 0.25
+	// maxRefusedShare is the fraction of dispatches refused by servers above
+	// which they count as congested.
+	maxRefusedShare = 0.1
+	// maxReportAge is how long a server's report is used.
+	maxReportAge = 3 * time.Second
+	// minLimit is the minimum limit of a pool.
 	minLimit = 8
 )
 
-// limiter learns how many requests a pool of backend servers can hold at once.
-// It raises the limit while requests wait for it and lowers it when the
-// servers show that they are full: streams wait in engines' queues or servers
-// refuse. Where no server reports, as plain services don't, it goes by the
-// latency per unit of work: the limit falls when that has grown well past its
-// least recent value without more throughput. It never goes below a floor,
-// since a latency that grew for another reason, such as larger requests, would
-// otherwise close the pool by and by.
+// limiter adapts the concurrency limit of a pool of backend servers. It raises
+// the limit while the limit is reached and lowers it when the servers are full:
+// streams wait in engines' queues or servers refuse requests. If no server
+// reports, as with plain services, it uses the latency per unit of work: the
+// limit falls when that has grown well past its recent minimum without more
+// throughput. The limit never falls below a floor, since a latency that grew for
+// another reason, such as larger requests, would otherwise close the pool step
+// by step.
 type limiter struct {
 	options Options
 	limit   float64
 	floor   float64
 	servers int
-	// saturated says that the limit was reached in this window.
+	// saturated is true if the limit was reached in this window.
 	saturated bool
 	refused   int
 
-	began      bool
-	start      time.Duration
-	samples    int
-	latency    float64 // sum over samples, in seconds per unit
-	units      float64
-	throughput float64   // of the last window, in units per second
-	least      []float64 // latency per span, the oldest first
-	spanEnds   time.Duration
-	reports    map[string]serverReport
+	started         bool
+	windowStart     time.Duration
+	samples         int
+	latencySum      float64 // sum over samples, in seconds per unit of work
+	units           float64
+	throughput      float64   // of the last window, in units of work per second
+	baseline        []float64 // minimum latency per span, oldest first
+	baselineSpanEnd time.Duration
+	reports         map[string]serverReport
 }
 
 type serverReport struct {
@@ -70,7 +73,7 @@
 	return l
 }
 
-// setServers sets the floor, and the limit when the first servers are known.
+// setServers sets the floor, and raises the limit for each added server.
 func (l *limiter) setServers(servers, liveVMs int) {
 	servers = max(servers, 1)
 	l.floor = max(minLimit, float64(servers*l.options.FloorPerServer)/float64(max(liveVMs, 1)))
@@ -94,73 +97,74 @@
 
 func (l *limiter) dropStale(now time.Duration) {
 	for name, report := range l.reports {
-		if now-report.at > reportFresh {
+		if now-report.at > maxReportAge {
 			delete(l.reports, name)
 		}
 	}
 }
 
-// sample takes a request that ended: how long it took and the work that it was.
-func (l *limiter) sample(now, took time.Duration, units float64) {
-	if !l.began {
-		l.began = true
-		l.start = now
+// sample adds a finished request, with its duration and its work.
+func (l *limiter) sample(now, duration time.Duration, units float64) {
+	if !l.started {
+		l.started = true
+		l.windowStart = now
 	}
 	l.samples++
-	l.latency += took.Seconds() / units
+	l.latencySum += duration.Seconds() / units
 	l.units += units
-	span := now - l.start
-	if span < windowTime || l.samples < windowSamples && span < windowLongest {
+	span := now - l.windowStart
+	if span < minWindow || l.samples < minWindowSamples && span < maxWindow {
 		return
 	}
-	l.judge(now, span)
-	l.start, l.samples, l.latency, l.units, l.refused, l.saturated = now, 0, 0, 0, 0, false
+	l.adjust(now, span)
+	l.windowStart, l.samples, l.latencySum, l.units, l.refused, l.saturated = now, 0, 0, 0, 0, false
 }
 
-// judge moves the limit at the end of a window.
-func (l *limiter) judge(now, span time.Duration) {
+// adjust updates the limit at the end of a window.
+func (l *limiter) adjust(now, span time.Duration) {
 	throughput := l.units / span.Seconds()
-	gained := throughput > throughputGain*l.throughput
+	gained := throughput > minThroughputGain*l.throughput
 	l.throughput = throughput
-	slow := l.slow(now)
-	full, reported := l.full(now)
+	slow := l.latencyExceeded(now)
+	overloaded, reported := l.serversOverloaded(now)
 	switch {
-	case full || slow && !gained && !reported:
-		l.limit *= decrease
+	case overloaded || slow && !gained && !reported:
+		l.limit *= decreaseFactor
 	case l.saturated:
 		l.limit += math.Sqrt(l.limit)
 	}
 	l.clamp()
 }
 
-// full tells whether the servers say themselves that they have no room, and
-// whether any of them reports.
-func (l *limiter) full(now time.Duration) (full, reported bool) {
-	if float64(l.refused) > refusedShare*float64(l.samples) {
+// serversOverloaded reports whether the servers signal that they are full, and
+// whether any of them reports at all.
+func (l *limiter) serversOverloaded(now time.Duration) (overloaded, reported bool) {
+	if float64(l.refused) > maxRefusedShare*float64(l.samples) {
 		return true, true
 	}
 	running, waiting := 0, 0
 	for _, report := range l.reports {
-		if now-report.at <= reportFresh {
+		if now-report.at <= maxReportAge {
 			reported = true
 			running += report.running
 			waiting += report.waiting
 		}
 	}
-	return float64(waiting) > waitingShare*float64(running+waiting), reported
+	return float64(waiting) > maxWaitingShare*float64(running+waiting), reported
 }
 
-// slow tells whether the latency per unit of work has grown past the tolerance.
-func (l *limiter) slow(now time.Duration) bool {
-	mean := l.latency / float64(l.samples)
-	if len(l.least) == 0 || now >= l.spanEnds {
-		l.spanEnds = now + baselineTime
-		l.least = append(l.least, mean)
-		if len(l.least) > baselineSpans {
-			l.least = slices.Delete(l.least, 0, 1)
+// latencyExceeded reports whether the latency per unit of work has grown past
+// the tolerance.
+func (l *limiter) latencyExceeded(now time.Duration) bool {
+	mean := l.latencySum / float64(l.samples)
+	if len(l.baseline) == 0 || now >= l.baselineSpanEnd {
+		l.baselineSpanEnd = now + baselineSpan
+		l.baseline = append(l.baseline, mean)
+		if len(l.baseline) > baselineSpans {
+			l.baseline = slices.Delete(l.baseline, 0, 1)
 		}
 	}
-	last := len(l.least) - 1
-	l.least[last] = min(l.least[last], mean)
-	return l.saturated && mean > l.options.Tolerance*slices.Min(l.least)
+	last := len(l.baseline) - 1
+	l.baseline[last] = min(l.baseline[last], mean)
+	return l.saturated && mean > l.options.Tolerance*slices.Min(l.baseline)
 }
