--- a/internal/core/request/backoff.go
+++ b/internal/core/request/backoff.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	backoffFirst   = 50 * time.Millisecond
-	backoffLongest = time.Second
-	// freeRepeats is the fruitless attempts after which the next waits: a
-	// stream that loses a stage goes on at once.
-	freeRepeats = 1
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = time.Second
+	// immediateRetries is the number of consecutive attempts without progress
+	// after which the next attempt is still immediate, so that a stream that
+	// loses a stage resumes without delay.
+	immediateRetries = 1
 )
 
-// Backoff is the wait before the next attempt: none after one fruitless
-// attempt, then twice as long each time. It differs between requests, by half
-// up or down, so that those which failed together don't come together again.
+// Backoff returns the delay before the next attempt: none after one attempt
+// without progress, then exponential. It has a jitter of half the delay up or
+// down, derived from the request ID, so that requests that failed together are
+// not retried together.
 func (r *Request) Backoff() time.Duration {
-	if r.Fruitless <= freeRepeats {
+	if r.FailuresWithoutProgress <= immediateRetries {
 		return 0
 	}
-	wait := backoffFirst << min(r.Fruitless-freeRepeats-1, 5)
-	wait = min(wait, backoffLongest)
+	wait := minBackoff << min(r.FailuresWithoutProgress-immediateRetries-1, 5)
+	wait = min(wait, maxBackoff)
 	return wait/2 + time.Duration(xxhash.Sum64String(string(r.ID))%uint64(wait))
 }
--- a/internal/core/request/keys.go
+++ b/internal/core/request/keys.go
@@ -6,47 +6,49 @@
 )
 
 const (
-	keysCapacity = 16384
-	keysTime     = 10 * time.Minute
+	maxKeys      = 16384
+	keyRetention = 10 * time.Minute
 )
 
-// Keys remembers which body came with which idempotency key of idempotent
-// requests, for a bounded time and number, so that two bodies under one key
-// are noticed. Keys of non-idempotent requests are decided by their claims.
+// Keys records the hash of the body that each idempotency key of an idempotent
+// request came with, for a limited time and number of keys, in order to detect
+// the use of a key with two bodies. Keys of non-idempotent requests are checked
+// by their claims.
 type Keys struct {
-	held  map[keyName]*list.Element
-	order list.List
+	byName map[keyName]*list.Element
+	byAge  list.List
 }
 
 type keyName struct{ account, key string }
 
-type keyUse struct {
+type keyEntry struct {
 	name     keyName
 	bodyHash uint64
 	at       time.Duration
 }
 
-// NewKeys makes an empty table.
-func NewKeys() *Keys { return &Keys{held: make(map[keyName]*list.Element)} }
+// NewKeys returns an empty table.
+func NewKeys() *Keys { return &Keys{byName: make(map[keyName]*list.Element)} }
 
-// Use takes a key's use. It returns false when the key came with another body.
+// Use records the use of a key. It returns false if the key was used with
+// another body.
 func (k *Keys) Use(now time.Duration, account, key string, bodyHash uint64) bool {
-	k.forget(now)
+	k.evict(now)
 	name := keyName{account, key}
-	if element, ok := k.held[name]; ok {
-		return element.Value.(*keyUse).bodyHash == bodyHash
+	if element, ok := k.byName[name]; ok {
+		return element.Value.(*keyEntry).bodyHash == bodyHash
 	}
-	k.held[name] = k.order.PushBack(&keyUse{name: name, bodyHash: bodyHash, at: now})
+	k.byName[name] = k.byAge.PushBack(&keyEntry{name: name, bodyHash: bodyHash, at: now})
 	return true
 }
 
-func (k *Keys) forget(now time.Duration) {
-	for oldest := k.order.Front(); oldest != nil; oldest = k.order.Front() {
-		use := oldest.Value.(*keyUse)
-		if now-use.at < keysTime && k.order.Len() < keysCapacity {
+func (k *Keys) evict(now time.Duration) {
+	for oldest := k.byAge.Front(); oldest != nil; oldest = k.byAge.Front() {
+		entry := oldest.Value.(*keyEntry)
+		if now-entry.at < keyRetention && k.byAge.Len() < maxKeys {
 			return
 		}
-		k.order.Remove(oldest)
-		delete(k.held, use.name)
+		k.byAge.Remove(oldest)
+		delete(k.byName, entry.name)
 	}
 }
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -1,6 +1,6 @@
-// Package request is the life of one caller's request: its states, its
-// attempts, what each of them proved, and what may truthfully be said when it
-// is refused.
+// Package request models one client request: its state machine, its attempts,
+// the evidence from each of them, and what a refusal may state about whether the
+// request ran.
 package request
 
 import (
@@ -16,49 +16,55 @@
 // Execution is what is known about whether a refused request ran.
 type Execution string
 
-// The truths that a refusal tells.
+// The values of Execution, from weakest to strongest.
 const (
-	// NotRun: proven that no backend server started work on the request.
+	// NotRun: it is proven that no backend server started work on the request.
 	NotRun Execution = "not_run"
-	// MayHaveRun: the request left for a backend server and nothing proves what came of it.
+	// MayHaveRun: the request was sent to a backend server and its outcome is
+	// unknown.
 	MayHaveRun Execution = "may_have_run"
-	// Ran: a backend server is known to have run the request, wholly or in part.
+	// Ran: a backend server is known to have run the request, in whole or in
+	// part.
 	Ran Execution = "ran"
 )
 
-// Outcome is what the end of an attempt proved.
+// Outcome is how an attempt ended, as far as that is proven.
 type Outcome string
 
 // The outcomes of an attempt.
 const (
 	// Completed: the whole answer was delivered.
 	Completed Outcome = "completed"
-	// ProvenNotRun: the server refused before any work, or was never reached.
+	// ProvenNotRun: the server refused the attempt before any work, or was never
+	// reached.
 	ProvenNotRun Outcome = "proven_not_run"
-	// Lost: the attempt broke after its first byte left; it may have run.
+	// Lost: the connection failed after the first byte was sent; the attempt may
+	// have run.
 	Lost Outcome = "lost"
 	// Broken: the attempt produced tokens and then failed.
 	Broken Outcome = "broken"
-	// BadReceipt: a token's receipts did not prove that each layer ran once, in order.
+	// BadReceipt: a token's receipts did not prove that each layer ran exactly
+	// once, in order.
 	BadReceipt Outcome = "bad_receipt"
-	// Moved: the VM ended the attempt on purpose, between two tokens, as a server
-	// of its path leaves.
+	// Moved: the VM ended the attempt on purpose, between two tokens, because a
+	// server of its path is leaving.
 	Moved Outcome = "moved"
 )
 
-// Request is one request between its arrival and its end.
+// Request is the state of one request from arrival to end.
 type Request struct {
 	ID       ID
 	Account  string
 	Pipeline string
 	Route    string
 	Key      string
-	// KeyGiven says that the caller made the key, so that it may have sent the
+	// KeyGiven is true if the caller supplied the key, and so may have sent the
 	// request before.
 	KeyGiven bool
 	BodyHash uint64
 	Priority int
-	// PromptTokens, Prefixes and MaxTokens describe the work, for the choice of a path.
+	// PromptTokens, Prefixes and MaxTokens describe the work, for the choice of a
+	// path.
 	PromptTokens int
 	Prefixes     []uint64
 	MaxTokens    int
@@ -66,69 +72,72 @@
 	Deadline     time.Duration
 
 	State State
-	// Pool is what the request competes for: one model or one plain service.
+	// Pool names the admission pool of the request: one model or one plain
+	// service.
 	Pool string
-	// Slot says that the request holds a slot of its pool.
+	// Slot is true if the request holds a slot of its pool.
 	Slot bool
-	// Claimed says that a claim was asked for and has to be settled at the end,
-	// and ValidUntil ends the permission that it gave.
+	// Claimed is true if a claim was requested and must be settled at the end.
+	// ValidUntil is when the permission to dispatch that it granted expires.
 	Claimed    bool
 	ValidUntil time.Duration
-	// Granted says that the claim was granted: until ValidUntil, no other
+	// Granted is true if the claim was granted: until ValidUntil, no other
 	// request with the key ran.
 	Granted bool
 	// Attempt is the number of the current attempt, from 1, and Path its servers.
 	Attempt int
 	Path    route.Path
-	// Version is the model version of the answer, fixed by its first token.
+	// Version is the model version of the answer, fixed by the first token.
 	Version string
 	// Tokens is the number of tokens delivered to the caller.
 	Tokens int
-	// Execution is the strongest claim that any attempt so far allows.
+	// Execution is the strongest evidence from all attempts so far.
 	Execution Execution
-	// Avoid lists the backend servers that failed this request, and Faulty
-	// those that were proven to be at fault.
+	// Avoid lists the backend servers that failed this request, and Faulty those
+	// that were proven to be at fault.
 	Avoid, Faulty []string
-	// Fruitless counts the attempts in a row that delivered no token.
-	Fruitless int
-	// Moves counts the attempts that were ended on purpose, to move the stream.
+	// FailuresWithoutProgress counts consecutive attempts that delivered no
+	// token.
+	FailuresWithoutProgress int
+	// Moves counts the attempts that were ended on purpose to move the stream.
 	Moves int
-	// Losses counts the attempts that may have crashed a server, and Progress is
-	// the tokens that the last failed attempt delivered.
+	// Losses counts the attempts that may have crashed a server. Progress is the
+	// number of tokens that the last failed attempt delivered.
 	Losses   int
 	Progress int
-	// Tried lists the servers on the paths of the attempts that failed, and
-	// SentAt is when the current attempt was dispatched.
-	Tried  []string
-	SentAt time.Duration
-	// Patience ends the waits for a path. 0 before the first.
+	// TriedServers lists the servers on the paths of failed attempts. SentAt is
+	// when the current attempt was dispatched.
+	TriedServers []string
+	SentAt       time.Duration
+	// Patience is when the wait for a path ends. 0 before the first wait.
 	Patience time.Duration
-	// Isolated says that the current attempt may share its servers with no
-	// other isolated one.
+	// Isolated is true if the current attempt must not share a server with
+	// another isolated attempt.
 	Isolated bool
-	// Confirming says that the other VMs are asked what they know of its body,
-	// until ConfirmBy at the latest. Confirmed is the attempt, counted from 1,
-	// that they were last asked for, and Alone says that not all answered.
+	// Confirming is true while the other VMs are asked what they know of the
+	// body, until ConfirmBy at the latest. Confirmed is the attempt, from 1, that
+	// they were last asked about. Alone is true if some of them did not answer.
 	Confirming bool
 	ConfirmBy  time.Duration
 	Confirmed  int
 	Alone      bool
-	// Awaited is the attempt, counted from 1, before which proof was last awaited.
+	// Awaited is the last attempt, from 1, that was delayed to wait for proof of
+	// a crash.
 	Awaited int
-	// Wake is when the request's wait ends. 0 when it doesn't wait.
+	// Wake is when the request's wait ends. 0 if it does not wait.
 	Wake time.Duration
 }
 
-// MayBeRepeat tells whether an earlier sending of this request, under the key
-// that its caller made, may have run as far as this VM knows.
+// MayBeRepeat reports whether, as far as this VM knows, the caller may have sent
+// this request before under the same key and that request may have run.
 func (r *Request) MayBeRepeat(now time.Duration) bool {
 	return r.KeyGiven && !r.Idempotent && (!r.Granted || now >= r.ValidUntil)
 }
 
-// Move changes the state. It returns false, and changes nothing, for a step
-// that the life of a request does not have.
+// Move changes the state. It returns false, and changes nothing, if the
+// transition is not allowed.
 func (r *Request) Move(next State) bool {
-	if !r.State.MayFollow(next) {
+	if !r.State.CanTransitionTo(next) {
 		return false
 	}
 	r.State = next
@@ -136,30 +145,30 @@
 	return true
 }
 
-// Record takes the end of an attempt into the request's knowledge of what ran.
-// It returns whether the request may have crashed the server.
+// Record updates the request with the outcome of an attempt. It returns whether
+// the request may have crashed the server.
 func (r *Request) Record(outcome Outcome, server string, tokens int) bool {
 	r.Progress = max(tokens-r.Tokens, 0)
 	progress := r.Progress > 0
 	r.Tokens = max(r.Tokens, tokens)
-	r.recordExecution(outcome)
+	r.updateExecution(outcome)
 	if outcome == Moved {
 		r.Moves++
 		return false
 	}
-	r.Fruitless++
+	r.FailuresWithoutProgress++
 	if progress {
-		r.Fruitless = 0
+		r.FailuresWithoutProgress = 0
 	}
-	suspect := r.suspect(outcome, server, progress)
-	if suspect {
+	crashSuspected := r.mayHaveCrashed(outcome, server, progress)
+	if crashSuspected {
 		r.Losses++
 	}
-	r.blame(outcome, server)
-	return suspect
+	r.recordFailedServers(outcome, server)
+	return crashSuspected
 }
 
-func (r *Request) recordExecution(outcome Outcome) {
+func (r *Request) updateExecution(outcome Outcome) {
 	switch {
 	case outcome == Broken || outcome == BadReceipt || r.Tokens > 0:
 		r.Execution = Ran
@@ -168,24 +177,25 @@
 	}
 }
 
-// Failures is the number of attempts that were not ended on purpose.
+// Failures returns the number of attempts, without those that were ended on
+// purpose.
 func (r *Request) Failures() int { return r.Attempt - r.Moves }
 
-// suspect tells whether the request may have crashed the server. A server that
-// was on the path of an earlier failed attempt, and gave no token since, was
-// likely lost together with the one blamed then: when a rack is lost, a path
-// finds out about its stages one by one.
-func (r *Request) suspect(outcome Outcome, server string, progress bool) bool {
+// mayHaveCrashed reports whether the request may have crashed the server. A
+// server that was on the path of an earlier failed attempt, and delivered no
+// token since, was probably lost together with the server that failed then: when
+// a rack fails, the loss of its servers on a path is detected one by one.
+func (r *Request) mayHaveCrashed(outcome Outcome, server string, progress bool) bool {
 	if server == "" || outcome != Lost && outcome != Broken {
 		return false
 	}
-	return progress || !slices.Contains(r.Tried, server)
+	return progress || !slices.Contains(r.TriedServers, server)
 }
 
-func (r *Request) blame(outcome Outcome, server string) {
+func (r *Request) recordFailedServers(outcome Outcome, server string) {
 	for _, stage := range r.Path {
-		if !slices.Contains(r.Tried, stage.Server) {
-			r.Tried = append(r.Tried, stage.Server)
+		if !slices.Contains(r.TriedServers, stage.Server) {
+			r.TriedServers = append(r.TriedServers, stage.Server)
 		}
 	}
 	switch {
@@ -197,8 +207,8 @@
 	}
 }
 
-// Suspect has servers avoided of which one, not known which, was at fault. None
-// of them counts as lost.
+// Suspect adds servers to Avoid of which one, not known which, was at fault.
+// None of them counts as a suspected crash.
 func (r *Request) Suspect(servers []string) {
 	for _, server := range servers {
 		if !slices.Contains(r.Avoid, server) {
@@ -207,9 +217,9 @@
 	}
 }
 
-// MayRepeat tells whether another attempt keeps the promise that a
+// MayRepeat reports whether another attempt keeps the guarantee that a
 // non-idempotent request runs at most once: only an idempotent request, or one
-// that provably did not run, is sent again.
+// that provably did not run, is retried.
 func (r *Request) MayRepeat() bool {
 	return r.Idempotent || r.Execution == NotRun
 }
