--- a/internal/core/fleet/link.go
+++ b/internal/core/fleet/link.go
@@ -2,102 +2,105 @@
 
 import "time"
 
-// The damping of a flapping link: a link which fell flapsToHold times, less
-// those forgiven, is held out until no more than flapsToFree are left.
+// Flap damping: a link is suppressed when its flap count reaches suppressFlaps, and
+// usable again when the count has decayed to reuseFlaps.
 const (
-	flapsToHold = 3
-	flapsToFree = 1
-	flapsLimit  = 6
+	suppressFlaps = 3
+	reuseFlaps    = 1
+	maxFlaps      = 6
 )
 
-// link is this VM's own way to a backend server.
+// link is this VM's connection to a backend server.
 type link struct {
-	reach    Reach
+	reach    Reachability
 	failures int
 	lastUp   time.Duration
 	everUp   bool
-	// flaps counts the falls from reachable to not, less those forgiven since
-	// forgivenAt. Without it a link that comes and goes every second would take
-	// streams in each good second and break them in each bad one.
+	// flaps counts the changes from reachable to unreachable, less those that
+	// decayed since decayedAt. Without damping, a link that changes every second
+	// would get new streams in each good second and break them in each bad one.
 	flaps      int
-	forgivenAt time.Duration
-	held       bool
-	// broken counts the requests that broke in a row. Probes don't reset it: an
-	// engine can answer them while each of its streams stalls.
-	broken      int
-	pausedUntil time.Duration
+	decayedAt  time.Duration
+	suppressed bool
+	// failedRequests counts consecutive failed requests. Probes don't reset it: an
+	// engine can answer them while all its streams stall.
+	failedRequests int
+	pausedUntil    time.Duration
 }
 
-func (l *link) success(now time.Duration) {
+func (l *link) recordSuccess(now time.Duration) {
 	l.failures = 0
 	l.lastUp = now
 	l.everUp = true
-	l.reach = ReachUp
+	l.reach = Reachable
 }
 
-// worked notes a request that was answered.
-func (l *link) worked(now time.Duration) {
-	l.broken = 0
+// requestSucceeded records an answered request.
+func (l *link) requestSucceeded(now time.Duration) {
+	l.failedRequests = 0
 	l.pausedUntil = 0
-	l.success(now)
+	l.recordSuccess(now)
 }
 
-// requestBroke notes a request whose connection broke or went silent.
-func (l *link) requestBroke(now time.Duration, options Options) {
-	l.broken++
-	if l.broken >= options.FailedRequests {
-		l.pausedUntil = now + options.Pause
+// requestFailed records a request whose connection broke or timed out.
+func (l *link) requestFailed(now time.Duration, options Options) {
+	l.failedRequests++
+	if l.failedRequests >= options.RequestFailureThreshold {
+		l.pausedUntil = now + options.PauseDuration
 	}
-	l.failure(now, options.SilentAfter)
+	l.recordFailure(now, options.FailureThreshold)
 }
 
-// failure notes a timeout or a broken connection.
-func (l *link) failure(now time.Duration, silentAfter int) {
+// recordFailure records a timeout or a broken connection.
+func (l *link) recordFailure(now time.Duration, failureThreshold int) {
 	l.failures++
-	if l.failures >= silentAfter && l.reach != ReachRefused {
-		l.fall(now, ReachSilent)
+	if l.failures >= failureThreshold && l.reach != ConnectionRefused {
+		l.setDown(now, Unresponsive)
 	}
 }
 
-// refusal notes a refused connection; one is proof.
-func (l *link) refusal(now time.Duration) {
+// recordRefusal records a refused connection. One is enough: it proves that no
+// process listens.
+func (l *link) recordRefusal(now time.Duration) {
 	l.failures++
-	l.fall(now, ReachRefused)
+	l.setDown(now, ConnectionRefused)
 }
 
-func (l *link) fall(now time.Duration, to Reach) {
-	if l.reach == ReachUp {
+func (l *link) setDown(now time.Duration, to Reachability) {
+	if l.reach == Reachable {
 		if l.flaps == 0 {
-			l.forgivenAt = now
+			l.decayedAt = now
 		}
-		l.flaps = min(l.flaps+1, flapsLimit)
-		l.held = l.held || l.flaps >= flapsToHold
+		l.flaps = min(l.flaps+1, maxFlaps)
+		l.suppressed = l.suppressed || l.flaps >= suppressFlaps
 	}
 	l.reach = to
 }
 
-// forgive lowers the count of falls by one for each decay that has passed, and
-// ends a pause.
-func (l *link) forgive(now, decay time.Duration) {
-	for l.flaps > 0 && now-l.forgivenAt >= decay {
+// decay lowers the flap count by one for each interval that has passed, and ends a
+// pause that has expired.
+func (l *link) decay(now, interval time.Duration) {
+	for l.flaps > 0 && now-l.decayedAt >= interval {
 		l.flaps--
-		l.forgivenAt += decay
+		l.decayedAt += interval
 	}
-	if l.flaps <= flapsToFree {
-		l.held = false
+	if l.flaps <= reuseFlaps {
+		l.suppressed = false
 	}
 	if now >= l.pausedUntil {
 		l.pausedUntil = 0
 	}
 }
 
-// down tells whether this VM should not use the link.
-func (l *link) down() bool { return l.reach.down() || l.held || l.pausedUntil != 0 }
+// down reports whether this VM should not use the link.
+func (l *link) down() bool { return l.reach.down() || l.suppressed || l.pausedUntil != 0 }
 
-// waits tells whether only time will change the link's state.
-func (l *link) waits() bool { return l.flaps > 0 || l.pausedUntil != 0 }
+// changesWithTime reports whether the state of the link can change without new
+// evidence.
+func (l *link) changesWithTime() bool { return l.flaps > 0 || l.pausedUntil != 0 }
 
-// fresh tells whether the link worked within a time and has not failed since.
-func (l *link) fresh(now, within time.Duration) bool {
+// recentlyUp reports whether the last success is at most within ago and nothing has
+// failed since.
+func (l *link) recentlyUp(now, within time.Duration) bool {
 	return l.everUp && l.failures == 0 && !l.down() && now-l.lastUp <= within
 }
--- a/internal/core/fleet/observers.go
+++ b/internal/core/fleet/observers.go
@@ -7,16 +7,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Observers picks the VMs that watch something, by rendezvous hashing: every
-// VM finds the same ones without talking, and when a VM goes only what it
-// watched finds another. The first of them has the highest rank. vms may be in
-// any order.
+// Observers selects the VMs that observe an object, by rendezvous hashing: all VMs
+// compute the same result without communication, and when a VM goes only the objects
+// that it observed are reassigned. The result is sorted by rank, the highest first.
+// vms may be in any order.
 func Observers(watched string, vms []string, count int) []string {
-	ranked := make([]ranking, 0, len(vms))
+	ranked := make([]rankedVM, 0, len(vms))
 	for _, vm := range vms {
 		ranked = append(ranked, rankOf(watched, vm))
 	}
-	slices.SortFunc(ranked, func(a, b ranking) int {
+	slices.SortFunc(ranked, func(a, b rankedVM) int {
 		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.vm, b.vm))
 	})
 	chosen := make([]string, 0, count)
@@ -26,12 +26,12 @@
 	return chosen
 }
 
-// ranking is a VM's place among those that could watch something.
-type ranking struct {
+// ranking is a VM's rendezvous hash for one object.
+type rankedVM struct {
 	vm   string
 	rank uint64
 }
 
-func rankOf(watched, vm string) ranking {
-	return ranking{vm: vm, rank: xxhash.Sum64String(watched + "\x00" + vm)}
+func rankOf(watched, vm string) rankedVM {
+	return rankedVM{vm: vm, rank: xxhash.Sum64String(watched + "\x00" + vm)}
 }
--- a/internal/core/fleet/server.go
+++ b/internal/core/fleet/server.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// server is all evidence on one backend server.
+// server holds all evidence on one backend server.
 type server struct {
 	record      Record
 	link        link
 	incarnation uint64
-	// reportedLeaving is what the current incarnation said of itself to this VM.
+	// reportedLeaving is set if the current incarnation told this VM that it is
+	// leaving.
 	reportedLeaving bool
 	listedLeaving   bool
-	// heard is the opinions of other VMs that say something.
-	heard map[string]Opinion
-	// spread is this VM's opinion as the others have it.
-	spread Opinion
-	status Status
+	// peerOpinions holds the non-neutral opinions of other VMs by witness.
+	peerOpinions map[string]Opinion
+	// published is this VM's opinion as last sent to the other VMs.
+	published Opinion
+	status    Status
 }
 
-// leaving collects every reason to give the server nothing new for good. One is
-// enough, whoever brings it: to stop too early costs a little capacity, to go
-// on costs a cut-off stream.
+// leaving collects every reason to send the server no more new work. One reason from
+// any source is enough: stopping too early costs a little capacity, continuing
+// breaks streams.
 func (s *server) leaving(self string) []Evidence {
 	var found []Evidence
 	if s.record.Leaving {
@@ -34,70 +35,70 @@
 		found = append(found, Evidence{Source: SourceReport, Witness: self})
 	}
 	if s.listedLeaving {
-		found = append(found, Evidence{Source: SourceList, Witness: self})
+		found = append(found, Evidence{Source: SourcePlatformList, Witness: self})
 	}
-	for witness, opinion := range s.heard {
-		if s.believes(opinion) {
+	for witness, opinion := range s.peerOpinions {
+		if s.leavingApplies(opinion) {
 			found = append(found, Evidence{Source: SourceReport, Witness: witness})
 		}
 	}
-	return sorted(found)
+	return sortEvidence(found)
 }
 
-// believes tells whether another VM's word that the server leaves holds for the
-// process that this VM knows: what was said of an earlier one does not.
-func (s *server) believes(opinion Opinion) bool {
+// leavingApplies reports whether another VM's report that the server is leaving
+// applies to the known process, not to an earlier one.
+func (s *server) leavingApplies(opinion Opinion) bool {
 	return opinion.Leaving && (opinion.Incarnation == 0 || opinion.Incarnation >= s.incarnation)
 }
 
-// unreachable collects who can't reach the server; each witness counts once.
+// unreachable lists the VMs that can't reach the server. Each witness counts once.
 func (s *server) unreachable(self string) []Evidence {
 	var found []Evidence
 	if s.link.down() {
 		found = append(found, Evidence{Source: s.link.source(), Witness: self})
 	}
-	for witness, opinion := range s.heard {
+	for witness, opinion := range s.peerOpinions {
 		if opinion.Reach.down() {
-			found = append(found, Evidence{Source: reachSource(opinion.Reach), Witness: witness})
+			found = append(found, Evidence{Source: reachabilitySource(opinion.Reach), Witness: witness})
 		}
 	}
-	return sorted(found)
+	return sortEvidence(found)
 }
 
-func reachSource(reach Reach) Source {
+func reachabilitySource(reach Reachability) Source {
 	switch reach {
-	case ReachRefused:
+	case ConnectionRefused:
 		return SourceRefused
 	default:
-		return SourceSilent
+		return SourceUnresponsive
 	}
 }
 
 func (l *link) source() Source {
 	switch {
 	case l.reach.down():
-		return reachSource(l.reach)
-	case l.held:
+		return reachabilitySource(l.reach)
+	case l.suppressed:
 		return SourceFlapping
 	default:
-		return SourceRequests
+		return SourceFailedRequests
 	}
 }
 
-// judge derives the status from the evidence.
-func (s *server) judge(now time.Duration, options Options, vms int) Status {
+// evaluate derives the status from the evidence.
+func (s *server) evaluate(now time.Duration, options Options, vms int) Status {
 	next := Status{Server: s.record.Name, State: Live, Since: s.status.Since, Incarnation: s.incarnation, Eligible: true, Unreachable: s.link.down()}
 	leaving, unreachable := s.leaving(options.Self), s.unreachable(options.Self)
-	counted := len(unreachable) >= max(min(options.Witnesses, vms), 1)
-	fresh := s.link.fresh(now, options.FreshFor)
+	enoughWitnesses := len(unreachable) >= max(min(options.MinWitnesses, vms), 1)
+	recentSuccess := s.link.recentlyUp(now, options.SuccessTTL)
 	switch {
-	case counted && !fresh:
+	case enoughWitnesses && !recentSuccess:
 		next.State, next.Evidence, next.Eligible = Gone, unreachable, false
 	case len(leaving) > 0:
 		next.State, next.Evidence, next.Eligible = Leaving, leaving, false
 	case len(unreachable) > 0 || s.link.failures > 0:
-		// One bad link must not take a healthy server from everybody, so only
-		// a VM whose own link is bad stops using it.
+		// One broken link must not make a healthy server unusable for all VMs, so
+		// only the VM with the broken link stops using it.
 		next.State, next.Evidence, next.Eligible = Suspect, unreachable, !s.link.down()
 	}
 	if next.State != s.status.State {
@@ -106,18 +107,18 @@
 	return next
 }
 
-// opinion is what this VM has to say to the others. What the platform's list
-// says is said by the first VM to see it: others who learn it from their own
-// list a moment later add nothing.
+// opinion returns what this VM publishes about the server. An entry of the
+// platform's list is published only by the first VM that sees it; VMs that see the
+// same entry later add nothing.
 func (s *server) opinion() Opinion {
 	opinion := Opinion{Server: s.record.Name, Incarnation: s.incarnation, Leaving: s.reportedLeaving}
 	if s.link.down() {
-		opinion.Reach = ReachSilent
-		if s.link.reach == ReachRefused {
-			opinion.Reach = ReachRefused
+		opinion.Reach = Unresponsive
+		if s.link.reach == ConnectionRefused {
+			opinion.Reach = ConnectionRefused
 		}
 	}
-	if s.listedLeaving && (s.spread.Leaving || !s.heardLeaving()) {
+	if s.listedLeaving && (s.published.Leaving || !s.peerReportsLeaving()) {
 		opinion.Leaving = true
 	}
 	if opinion.Neutral() {
@@ -126,16 +127,16 @@
 	return opinion
 }
 
-func (s *server) heardLeaving() bool {
-	for opinion := range maps.Values(s.heard) {
-		if s.believes(opinion) {
+func (s *server) peerReportsLeaving() bool {
+	for opinion := range maps.Values(s.peerOpinions) {
+		if s.leavingApplies(opinion) {
 			return true
 		}
 	}
 	return false
 }
 
-func sorted(found []Evidence) []Evidence {
+func sortEvidence(found []Evidence) []Evidence {
 	slices.SortFunc(found, func(a, b Evidence) int {
 		return cmp.Or(cmp.Compare(a.Source, b.Source), cmp.Compare(a.Witness, b.Witness))
 	})
--- a/internal/core/fleet/view.go
+++ b/internal/core/fleet/view.go
@@ -6,115 +6,116 @@
 	"time"
 )
 
-// Report is what a backend server said of itself to this VM.
+// Report is a backend server's own report of its state, received by this VM.
 type Report struct {
 	Server      string
 	Incarnation uint64
 	Leaving     bool
 }
 
-// Changes are the consequences of the evidence taken since the last call of
-// View.Changes, in order of the servers' names.
+// Changes are the results of the evidence since the last call of View.Changes,
+// sorted by server name.
 type Changes struct {
-	// Statuses are the judgements that differ from before.
+	// Statuses are the statuses that changed.
 	Statuses []Status
-	// Opinions are what the other VMs are to be told.
+	// Opinions are to be published to the other VMs.
 	Opinions []Opinion
-	// Restarts are servers at which another process answers than before.
+	// Restarts are the servers whose process changed.
 	Restarts []Restart
-	// Doubtful are servers that this VM should probe itself now, since somebody
+	// ProbeNow lists the servers that this VM should probe now, because some VM
 	// can't reach them.
 	Doubtful []string
 }
 
-// View is one VM's judgement on all backend servers. It is not safe for
+// View is one VM's view of the health of all backend servers. It is not safe for
 // concurrent use.
 type View struct {
-	options  Options
-	servers  map[string]*server
-	vms      int
-	touched  map[string]struct{}
-	waiting  map[string]struct{}
-	restarts []Restart
+	options       Options
+	servers       map[string]*server
+	vms           int
+	dirty         map[string]struct{}
+	timeDependent map[string]struct{}
+	restarts      []Restart
 }
 
-// New makes a view without servers.
+// New returns a View without servers.
 func New(options Options) *View {
 	return &View{
-		options: options,
-		servers: make(map[string]*server),
-		vms:     1,
-		touched: make(map[string]struct{}),
-		waiting: make(map[string]struct{}),
+		options:       options,
+		servers:       make(map[string]*server),
+		vms:           1,
+		dirty:         make(map[string]struct{}),
+		timeDependent: make(map[string]struct{}),
 	}
 }
 
-// SetRecords takes the backend servers of a configuration. Evidence on a
-// server that stays is kept.
+// SetRecords replaces the set of backend servers by that of a configuration.
+// Evidence on servers that remain is kept.
 func (v *View) SetRecords(records []Record) {
 	known := make(map[string]struct{}, len(records))
 	for _, record := range records {
 		known[record.Name] = struct{}{}
 		s, ok := v.servers[record.Name]
 		if !ok {
-			s = &server{heard: make(map[string]Opinion)}
+			s = &server{peerOpinions: make(map[string]Opinion)}
 			v.servers[record.Name] = s
 		}
 		if !ok || s.record != record {
 			s.record = record
-			v.touch(record.Name)
+			v.markDirty(record.Name)
 		}
 	}
 	for name := range v.servers {
 		if _, ok := known[name]; !ok {
 			delete(v.servers, name)
-			delete(v.waiting, name)
-			delete(v.touched, name)
+			delete(v.timeDependent, name)
+			delete(v.dirty, name)
 		}
 	}
 }
 
-// SetVMs takes the number of VMs that live, this one included: a VM that is
-// alone needs no second witness.
+// SetVMs sets the number of live VMs, including this one. A VM that is alone needs
+// no second witness.
 func (v *View) SetVMs(live int) {
 	if v.vms == live {
 		return
 	}
 	v.vms = live
 	for name, s := range v.servers {
-		if s.link.down() || len(s.heard) > 0 {
-			v.touch(name)
+		if s.link.down() || len(s.peerOpinions) > 0 {
+			v.markDirty(name)
 		}
 	}
 }
 
-// Reported takes an answer of a backend server to this VM.
+// ApplyReport applies a backend server's own report, which is also a successful
+// probe.
 func (v *View) Reported(now time.Duration, report Report) {
 	s, ok := v.servers[report.Server]
 	if !ok {
 		return
 	}
-	v.restarted(s, report.Incarnation)
+	v.setIncarnation(s, report.Incarnation)
 	s.reportedLeaving = report.Leaving
-	s.link.success(now)
-	v.touch(report.Server)
+	s.link.recordSuccess(now)
+	v.markDirty(report.Server)
 }
 
-// Told takes an incarnation that another VM has met. It only counts when it is
-// higher than what is known, since such word comes late.
+// ObserveIncarnation applies an incarnation that another VM observed. Such reports
+// can be late, so only a higher incarnation than the known one counts.
 func (v *View) Told(name string, incarnation uint64) {
 	s, ok := v.servers[name]
 	if !ok || incarnation <= s.incarnation {
 		return
 	}
-	v.restarted(s, incarnation)
+	v.setIncarnation(s, incarnation)
 	s.reportedLeaving = false
-	v.touch(name)
+	v.markDirty(name)
 }
 
-// restarted takes another process at a server, and remembers it as a restart
-// unless it is the first that is known.
-func (v *View) restarted(s *server, incarnation uint64) {
+// setIncarnation sets the server's current incarnation and records a restart unless
+// it is the first known one.
+func (v *View) setIncarnation(s *server, incarnation uint64) {
 	if s.incarnation != 0 && s.incarnation != incarnation {
 		v.restarts = append(v.restarts, Restart{
 			Server: s.record.Name, Before: s.incarnation, After: incarnation,
@@ -124,117 +125,120 @@
 	s.incarnation = incarnation
 }
 
-// Worked takes a request that a backend server answered.
+// RequestSucceeded records a request that a backend server answered.
 func (v *View) Worked(now time.Duration, name string) {
 	s, ok := v.servers[name]
 	if !ok {
 		return
 	}
-	quiet := s.link.reach == ReachUp && s.link.failures == 0 && s.link.pausedUntil == 0
-	s.link.worked(now)
-	if !quiet {
-		v.touch(name)
+	healthy := s.link.reach == Reachable && s.link.failures == 0 && s.link.pausedUntil == 0
+	s.link.requestSucceeded(now)
+	if !healthy {
+		v.markDirty(name)
 	}
 }
 
-// Broke takes a request whose connection to a backend server broke or went silent.
+// RequestFailed records a request whose connection to a backend server broke or
+// timed out.
 func (v *View) Broke(now time.Duration, name string) {
 	if s, ok := v.servers[name]; ok {
-		s.link.requestBroke(now, v.options)
-		v.touch(name)
+		s.link.requestFailed(now, v.options)
+		v.markDirty(name)
 	}
 }
 
-// Unwatched forgets what a server said of itself to this VM, which no longer
-// probes it: nobody would tell this VM that the server stays after all, and its
-// old word would keep the server out of use everywhere.
+// ProbingStopped discards the server's own report, because this VM no longer probes
+// it. Otherwise the VM would not learn that the server stays after all, and its
+// outdated report would make all VMs avoid the server.
 func (v *View) Unwatched(name string) {
 	if s, ok := v.servers[name]; ok && s.reportedLeaving {
 		s.reportedLeaving = false
-		v.touch(name)
+		v.markDirty(name)
 	}
 }
 
-// Failed takes a probe that got no answer in time.
+// ProbeFailed records a probe that timed out.
 func (v *View) Failed(now time.Duration, name string) {
 	if s, ok := v.servers[name]; ok {
-		s.link.failure(now, v.options.SilentAfter)
-		v.touch(name)
+		s.link.recordFailure(now, v.options.FailureThreshold)
+		v.markDirty(name)
 	}
 }
 
-// Refused takes a connection that a backend server refused.
+// ConnectionRefused records a connection that a backend server refused.
 func (v *View) Refused(now time.Duration, name string) {
 	if s, ok := v.servers[name]; ok {
-		s.link.refusal(now)
-		v.touch(name)
+		s.link.recordRefusal(now)
+		v.markDirty(name)
 	}
 }
 
-// Heard takes the opinion of another VM in place of its earlier one.
+// SetPeerOpinion replaces the opinion of another VM.
 func (v *View) Heard(witness string, opinion Opinion) {
 	s, ok := v.servers[opinion.Server]
 	if !ok || witness == v.options.Self {
 		return
 	}
 	if opinion.Neutral() {
-		delete(s.heard, witness)
+		delete(s.peerOpinions, witness)
 	} else {
-		s.heard[witness] = opinion
+		s.peerOpinions[witness] = opinion
 	}
-	v.touch(opinion.Server)
+	v.markDirty(opinion.Server)
 }
 
-// ForgetWitness drops the opinions of a VM that is gone. It can't withdraw
-// them any more, and its word must not hold a server out for ever.
+// ForgetWitness removes the opinions of a VM that is gone. It can't withdraw them
+// any more, so they would keep a server out of use for ever.
 func (v *View) ForgetWitness(witness string) {
 	for name, s := range v.servers {
-		if _, ok := s.heard[witness]; ok {
-			delete(s.heard, witness)
-			v.touch(name)
+		if _, ok := s.peerOpinions[witness]; ok {
+			delete(s.peerOpinions, witness)
+			v.markDirty(name)
 		}
 	}
 }
 
-// Listed takes the platform's list. A server that the list lacks keeps its
-// state: the list may not have it yet, and is no proof that it is gone.
+// ApplyPlatformList applies the platform's list. A server missing from the list
+// keeps its state: the list may not include it yet, so its absence doesn't prove
+// that it is gone.
 func (v *View) Listed(list []Listed) {
 	for _, entry := range list {
 		s, ok := v.servers[entry.Name]
 		if ok && s.listedLeaving != entry.Leaving {
 			s.listedLeaving = entry.Leaving
-			v.touch(entry.Name)
+			v.markDirty(entry.Name)
 		}
 	}
 }
 
-// Tick lets time pass: falls are forgiven, and old successes stop counting.
+// Tick updates state that depends on time: flap counts decay, and old successes stop
+// counting.
 func (v *View) Tick(now time.Duration) {
-	for name := range v.waiting {
+	for name := range v.timeDependent {
 		s := v.servers[name]
-		s.link.forgive(now, v.options.FlapDecay)
-		v.touch(name)
-		if !s.link.waits() {
-			delete(v.waiting, name)
+		s.link.decay(now, v.options.FlapDecay)
+		v.markDirty(name)
+		if !s.link.changesWithTime() {
+			delete(v.timeDependent, name)
 		}
 	}
 	for name, s := range v.servers {
-		if len(s.heard) > 0 {
-			v.touch(name)
+		if len(s.peerOpinions) > 0 {
+			v.markDirty(name)
 		}
 	}
 }
 
-// Changes judges anew every server with new evidence.
+// Changes re-evaluates every server with new evidence.
 func (v *View) Changes(now time.Duration) Changes {
 	changes := Changes{Restarts: v.restarts}
 	v.restarts = nil
-	for _, name := range slices.Sorted(maps.Keys(v.touched)) {
+	for _, name := range slices.Sorted(maps.Keys(v.dirty)) {
 		s := v.servers[name]
-		if s.link.waits() {
-			v.waiting[name] = struct{}{}
+		if s.link.changesWithTime() {
+			v.timeDependent[name] = struct{}{}
 		}
-		next := s.judge(now, v.options, v.vms)
+		next := s.evaluate(now, v.options, v.vms)
 		if !sameStatus(next, s.status) {
 			changes.Statuses = append(changes.Statuses, next)
 			if next.State == Suspect || next.State == Gone {
@@ -242,16 +246,16 @@
 			}
 		}
 		s.status = next
-		if opinion := s.opinion(); opinion != s.spread && !(opinion.Neutral() && s.spread.Neutral()) {
-			s.spread = opinion
+		if opinion := s.opinion(); opinion != s.published && !(opinion.Neutral() && s.published.Neutral()) {
+			s.published = opinion
 			changes.Opinions = append(changes.Opinions, opinion)
 		}
 	}
-	clear(v.touched)
+	clear(v.dirty)
 	return changes
 }
 
-// Status is the judgement on a server at the last call of Changes.
+// Status returns a server's status as of the last call of Changes.
 func (v *View) Status(name string) (Status, bool) {
 	s, ok := v.servers[name]
 	if !ok {
@@ -260,7 +264,7 @@
 	return s.status, true
 }
 
-// Statuses lists the judgements in order of name.
+// Statuses lists the statuses sorted by server name.
 func (v *View) Statuses() []Status {
 	statuses := make([]Status, 0, len(v.servers))
 	for _, name := range slices.Sorted(maps.Keys(v.servers)) {
@@ -269,4 +273,4 @@
 	return statuses
 }
 
-func (v *View) touch(name string) { v.touched[name] = struct{}{} }
+func (v *View) markDirty(name string) { v.dirty[name] = struct{}{} }
--- a/internal/core/fleet/view_test.go
+++ b/internal/core/fleet/view_test.go
@@ -12,8 +12,7 @@
 	"oleandershunt.example/oleandershunt/internal/core/fleet"
 )
 
-// The seed is fixed so that each run gives the same verdict; -rapid.seed on the
-// command line overrides it.
+// A fixed seed makes runs reproducible; -rapid.seed on the command line overrides it.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
 
 const (
@@ -21,7 +20,7 @@
 	server = "runner-1"
 )
 
-// fixture is a view of one backend server on a VM among nine.
+// fixture is the view of one VM out of nine, with one backend server.
 type fixture struct {
 	*WithT
 	view *fleet.View
@@ -55,25 +54,23 @@
 	f.view.Reported(f.now, fleet.Report{Server: server, Incarnation: incarnation, Leaving: leaving})
 }
 
-func (f *fixture) hear(witness string, reach fleet.Reach) {
+func (f *fixture) peerReports(witness string, reach fleet.Reachability) {
 	f.view.Heard(witness, fleet.Opinion{Server: server, Reach: reach})
 }
 
-// Symptom: a healthy server gets no work from any VM. Sequence: the link of one
-// VM breaks; it tells the others that the server does not answer. Cause: one
-// witness was taken for proof.
+// One VM's link breaks and it reports the server as unreachable. A single witness
+// must not stop the other VMs from using a healthy server.
 func TestOneBadLinkDoesNotEvictAHealthyServer(t *testing.T) {
 	f := newFixture(t)
-	f.hear("vm-2", fleet.ReachRefused)
+	f.peerReports("vm-2", fleet.ConnectionRefused)
 	changes := f.changes()
-	f.Expect(changes.Doubtful).To(ConsistOf(server), "this VM tries for itself")
+	f.Expect(changes.Doubtful).To(ConsistOf(server), "this VM probes the server itself")
 	f.Expect(f.status()).To(And(HaveField("State", fleet.Suspect), HaveField("Eligible", true)))
 }
 
-// Symptom: requests of one VM fail again and again on a server that all others
-// use. Sequence: the VM's own link to it breaks. Cause: it waited for a second
-// witness before it stopped using the link itself.
-func TestAVMStopsUsingWhatItCannotReachItself(t *testing.T) {
+// A VM whose own link to a server is broken must stop using it without waiting for a
+// second witness.
+func TestAVMStopsUsingAServerThatItCannotReachItself(t *testing.T) {
 	f := newFixture(t)
 	f.report(1, false)
 	f.view.Failed(f.now, server)
@@ -87,37 +84,36 @@
 func TestARefusedConnectionIsProofForTheVMThatSawIt(t *testing.T) {
 	f := newFixture(t)
 	f.view.Refused(f.now, server)
-	f.Expect(f.changes().Opinions).To(ConsistOf(fleet.Opinion{Server: server, Reach: fleet.ReachRefused}))
+	f.Expect(f.changes().Opinions).To(ConsistOf(fleet.Opinion{Server: server, Reach: fleet.ConnectionRefused}))
 	f.Expect(f.status()).To(HaveField("Eligible", false))
 }
 
-func TestTwoWitnessesCountAServerOutUnlessThisVMReachesIt(t *testing.T) {
+func TestTwoWitnessesMakeAServerGoneUnlessThisVMReachesIt(t *testing.T) {
 	f := newFixture(t)
-	f.hear("vm-2", fleet.ReachSilent)
-	f.hear("vm-3", fleet.ReachRefused)
+	f.peerReports("vm-2", fleet.Unresponsive)
+	f.peerReports("vm-3", fleet.ConnectionRefused)
 	f.Expect(f.status()).To(And(HaveField("State", fleet.Gone), HaveField("Eligible", false)))
 	f.report(1, false)
 	f.Expect(f.status()).To(And(HaveField("State", fleet.Suspect), HaveField("Eligible", true)))
 	f.after(time.Minute)
-	f.Expect(f.status()).To(HaveField("State", fleet.Gone), "an old success no longer outweighs them")
+	f.Expect(f.status()).To(HaveField("State", fleet.Gone), "an old success no longer outweighs the reports")
 }
 
-// Symptom: a server stays out of use for ever. Sequence: two VMs say that they
-// can't reach it, and die. Cause: nobody is left to withdraw what they said.
-func TestTheWordOfAVMThatIsGoneIsForgotten(t *testing.T) {
+// Two VMs report a server as unreachable and die. Nobody can withdraw their reports
+// any more, so they must not keep the server out of use for ever.
+func TestOpinionsOfAGoneVMAreRemoved(t *testing.T) {
 	f := newFixture(t)
-	f.hear("vm-2", fleet.ReachSilent)
-	f.hear("vm-3", fleet.ReachSilent)
+	f.peerReports("vm-2", fleet.Unresponsive)
+	f.peerReports("vm-3", fleet.Unresponsive)
 	f.Expect(f.status()).To(HaveField("State", fleet.Gone))
 	f.view.ForgetWitness("vm-2")
 	f.view.ForgetWitness("vm-3")
 	f.Expect(f.status()).To(HaveField("State", fleet.Live))
 }
 
-// Symptom: streams break every few seconds on one server. Sequence: a link
-// comes and goes; each time it is back, new streams are put on it. Cause: the
-// last probe alone decided.
-func TestAFlappingLinkIsHeldOutUntilItIsQuiet(t *testing.T) {
+// A link flaps, and each time it is up new streams are started on it and break. The
+// last probe alone must not decide.
+func TestAFlappingLinkIsSuppressedUntilItIsStable(t *testing.T) {
 	f := newFixture(t)
 	for range 3 {
 		f.report(1, false)
@@ -133,9 +129,9 @@
 	f.Expect(f.status()).To(And(HaveField("State", fleet.Live), HaveField("Eligible", true)))
 }
 
-// Symptom: each request on a server waits for its silence limit. Sequence: the
-// engine answers probes while its streams stall. Cause: each probe cleared
-// what the requests had shown.
+// An engine answers probes while its streams stall, so each request on it waits for
+// the silence timeout. Successful probes must not reset the count of failed
+// requests.
 func TestAnEngineThatAnswersOnlyProbesIsPaused(t *testing.T) {
 	f := newFixture(t)
 	for range 3 {
@@ -143,14 +139,13 @@
 		f.report(1, false)
 	}
 	f.Expect(f.status()).To(HaveField("Eligible", false))
-	f.Expect(f.status().Evidence).To(ConsistOf(fleet.Evidence{Source: fleet.SourceRequests, Witness: self}))
+	f.Expect(f.status().Evidence).To(ConsistOf(fleet.Evidence{Source: fleet.SourceFailedRequests, Witness: self}))
 	f.after(time.Minute)
 	f.Expect(f.status()).To(HaveField("Eligible", true), "requests try it again")
 }
 
-// Symptom: one VM goes on sending work to a server that leaves. Sequence: the
-// VM is cut off from the platform's list; the others see the entry. Cause: each
-// VM only believed its own list.
+// A VM that is cut off from the platform's list must learn from the others' opinions
+// that a server is leaving.
 func TestALeavingServerIsKnownToAVMThatCannotSeeTheList(t *testing.T) {
 	sees, blind := newFixture(t), newFixture(t)
 	sees.view.Listed([]fleet.Listed{{Name: server, Leaving: true}})
@@ -159,13 +154,12 @@
 	blind.view.Heard("vm-2", opinions[0])
 	blind.Expect(blind.status()).To(And(HaveField("State", fleet.Leaving), HaveField("Eligible", false)))
 	blind.view.Listed([]fleet.Listed{{Name: server, Leaving: true}})
-	blind.Expect(blind.changes().Opinions).To(BeEmpty(), "what is known needs no second voice")
+	blind.Expect(blind.changes().Opinions).To(BeEmpty(), "an opinion that is already known is not published again")
 }
 
-// Symptom: a server that came back gets no work. Sequence: the old process said
-// that it leaves and ended; a new one started. Cause: the word of the old
-// process was held against the new one.
-func TestANewProcessIsNotHeldToTheOldOnesLeaving(t *testing.T) {
+// A server reports that it is leaving, ends, and a new process starts. The old
+// process's report must not keep the new one out of use.
+func TestANewProcessIsNotLeavingBecauseTheOldOneWas(t *testing.T) {
 	f := newFixture(t)
 	f.report(7, true)
 	f.view.Heard("vm-2", fleet.Opinion{Server: server, Incarnation: 7, Leaving: true})
@@ -176,25 +170,23 @@
 	f.Expect(f.status()).To(HaveField("State", fleet.Live))
 }
 
-// Symptom: a server that was to leave and stays after all is never used again.
-// Sequence: a VM hears from it that it leaves, and then hands its probes to
-// another VM; the server takes its word back. Cause: the first VM, which no longer
-// probes it, held on to the old word and went on telling it.
-func TestTheWordOfAServerIsForgottenByAVMThatNoLongerProbesIt(t *testing.T) {
+// A VM learns from a server that it is leaving, then hands its probes to another VM,
+// and the server stays after all. The first VM must not keep publishing the outdated
+// report.
+func TestAVMThatNoLongerProbesAServerDiscardsItsReport(t *testing.T) {
 	f := newFixture(t)
 	f.report(1, true)
 	f.Expect(f.changes().Opinions).To(ConsistOf(HaveField("Leaving", true)))
 	f.view.Unwatched(server)
-	f.Expect(f.changes().Opinions).To(ConsistOf(fleet.Opinion{Server: server}), "it is withdrawn")
+	f.Expect(f.changes().Opinions).To(ConsistOf(fleet.Opinion{Server: server}), "the opinion is withdrawn")
 	f.Expect(f.status()).To(HaveField("State", fleet.Live))
 }
 
-// Symptom: after a partition two VMs judge a server differently for ever.
-// Sequence: opinions of several witnesses arrive in another order and more than
-// once. Cause: the judgement depended on the order of arrival.
-func TestTheJudgementDoesNotDependOnTheOrderOfOpinions(t *testing.T) {
+// After a partition, opinions of several witnesses arrive in different orders and
+// more than once. VMs must still reach the same status.
+func TestTheStatusDoesNotDependOnTheOrderOfOpinions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		reaches := []fleet.Reach{fleet.ReachUnknown, fleet.ReachUp, fleet.ReachSilent, fleet.ReachRefused}
+		reaches := []fleet.Reachability{fleet.ReachabilityUnknown, fleet.Reachable, fleet.Unresponsive, fleet.ConnectionRefused}
 		witnesses := []string{"vm-2", "vm-3", "vm-4", "vm-5"}
 		opinions := make([]fleet.Opinion, len(witnesses))
 		for i := range opinions {
@@ -228,11 +220,10 @@
 	return ok && err == nil
 }
 
-// Symptom: the loss of a rack takes servers elsewhere out of use, or its own stay
-// in use. Sequence: all ten servers of a rack fall silent at once for three VMs;
-// the power comes back and each runs a new process. Cause: evidence on one server
-// was held against another, or kept after its return.
-func TestALostRackIsCountedOutAndComesBack(t *testing.T) {
+// All ten servers of a rack become unresponsive for three VMs, and return with new
+// processes. Servers elsewhere must stay in use, and no old evidence may remain
+// after the return.
+func TestALostRackIsGoneAndRecovers(t *testing.T) {
 	g := NewWithT(t)
 	view := fleet.New(fleet.DefaultOptions(self))
 	var records []fleet.Record
@@ -253,7 +244,7 @@
 	}
 	for _, record := range records[:10] {
 		for _, witness := range []string{"vm-2", "vm-3"} {
-			view.Heard(witness, fleet.Opinion{Server: record.Name, Incarnation: 1, Reach: fleet.ReachSilent})
+			view.Heard(witness, fleet.Opinion{Server: record.Name, Incarnation: 1, Reach: fleet.Unresponsive})
 		}
 	}
 	expect(fleet.Gone)
--- a/internal/core/fleet/vms.go
+++ b/internal/core/fleet/vms.go
@@ -8,23 +8,25 @@
 	"time"
 )
 
-// VMOptions are the thresholds of the judgement on VMs.
+// VMDetectorOptions are the settings of the failure detector for VMs.
 type VMOptions struct {
-	// Self and DataCentre are this VM's.
+	// Self and DataCentre are this VM's name and data centre.
 	Self       string
 	DataCentre string
-	// Round is the time between two heartbeats.
+	// HeartbeatInterval is the interval between heartbeats.
 	Round time.Duration
-	// FarGoneAfter is the same for a VM of another data centre, whose
-	// heartbeats don't come here; a sign of life replaces them.
+	// FarGoneAfter is the time without contact after which a VM of another data
+	// centre is Gone. Its heartbeats don't reach this data centre; answers to calls
+	// replace them.
 	FarGoneAfter time.Duration
-	// ForgetAfter is how long a VM that is gone is remembered.
+	// ForgetAfter is how long a VM that is Gone is remembered.
 	ForgetAfter time.Duration
-	// PausedAfter is how late a tick must be for this VM to have been paused itself.
+	// PausedAfter is the delay between two ticks above which this VM assumes that it
+	// was paused itself.
 	PausedAfter time.Duration
 }
 
-// VM is the judgement on one VM.
+// VMStatus is the state of one VM as this VM sees it.
 type VM struct {
 	Name       string        `json:"name"`
 	DataCentre string        `json:"dataCentre"`
@@ -32,102 +34,104 @@
 	Since      time.Duration `json:"since"`
 }
 
-// The silence of a VM of this data centre, in rounds, that makes it suspect:
-// heartbeats come over other VMs and take a round for each doubling of their
-// number, and some more by chance. Twice the silence makes it gone. With a
-// number that does not grow, VMs of a large data centre suspect each other all
-// the time, and tell everybody so.
+// Timeout for heartbeats within the data centre, in heartbeat intervals. Gossip
+// needs about one interval for each doubling of the number of VMs, plus some by
+// chance. A VM is suspect after this time and gone after goneFactor times as long.
+// With a fixed timeout, VMs of a large data centre would constantly suspect each
+// other and gossip about it.
 const (
-	suspectRounds     = 3
-	suspectPerDoubled = 2
-	goneFactor        = 2
+	suspectBaseIntervals        = 3
+	suspectIntervalsPerDoubling = 2
+	goneFactor                  = 2
 )
 
-type vm struct {
-	status   VM
-	lastSign time.Duration
-	refused  bool
-	leaving  bool
-	left     bool
-	heard    map[string]struct{}
+type vmRecord struct {
+	status         VM
+	lastContact    time.Duration
+	refused        bool
+	leaving        bool
+	left           bool
+	reportedDownBy map[string]struct{}
 }
 
-// VMs is one VM's judgement on the others. It is not safe for concurrent use.
+// VMDetector detects failures of the other VMs. It is not safe for concurrent use.
 type VMs struct {
 	options  VMOptions
-	vms      map[string]*vm
+	vms      map[string]*vmRecord
 	lastTick time.Duration
 }
 
-// NewVMs makes a judgement on nobody.
+// NewVMs returns a failure detector that knows no VMs.
 func NewVMs(options VMOptions) *VMs {
-	return &VMs{options: options, vms: make(map[string]*vm)}
+	return &VMs{options: options, vms: make(map[string]*vmRecord)}
 }
 
-// Met takes a process of a VM met for the first time. What was held against an
-// earlier process under the name is dropped.
+// Add adds a process of a VM that is seen for the first time. Evidence against an
+// earlier process with the same name is discarded.
 func (v *VMs) Met(now time.Duration, name, dataCentre string) {
 	if name == v.options.Self {
 		return
 	}
-	v.vms[name] = &vm{
-		status:   VM{Name: name, DataCentre: dataCentre, Since: now},
-		lastSign: now,
-		heard:    make(map[string]struct{}),
+	v.vms[name] = &vmRecord{
+		status:         VM{Name: name, DataCentre: dataCentre, Since: now},
+		lastContact:    now,
+		reportedDownBy: make(map[string]struct{}),
 	}
 }
 
-// Sign takes a sign of life: a new heartbeat, or an answer to a call.
+// RecordContact records contact with a VM: a new heartbeat or an answer to a call.
 func (v *VMs) Sign(now time.Duration, name string) {
-	if known, ok := v.vms[name]; ok {
-		known.lastSign = now
-		known.refused = false
+	if vm, ok := v.vms[name]; ok {
+		vm.lastContact = now
+		vm.refused = false
 	}
 }
 
-// Refused takes a connection that the VM refused, which proves that no process listens.
+// ConnectionRefused records that a VM refused a connection, which proves that no
+// process listens.
 func (v *VMs) Refused(name string) {
-	if known, ok := v.vms[name]; ok {
-		known.refused = true
+	if vm, ok := v.vms[name]; ok {
+		vm.refused = true
 	}
 }
 
-// Leaving takes a VM's word on whether it stops, and Left that it has stopped.
+// SetLeaving sets whether a VM reports that it is shutting down (leaving), or that it
+// has stopped (left).
 func (v *VMs) Leaving(name string, leaving, left bool) {
-	if known, ok := v.vms[name]; ok {
-		known.leaving, known.left = leaving, left
+	if vm, ok := v.vms[name]; ok {
+		vm.leaving, vm.left = leaving, left
 	}
 }
 
-// Heard takes what a VM says of another one in its data centre.
+// SetDownReport sets whether a VM reports another VM of its data centre as down.
 func (v *VMs) Heard(witness, name string, down bool) {
-	known, ok := v.vms[name]
+	vm, ok := v.vms[name]
 	switch {
 	case !ok:
 	case down:
-		known.heard[witness] = struct{}{}
+		vm.reportedDownBy[witness] = struct{}{}
 	default:
-		delete(known.heard, witness)
+		delete(vm.reportedDownBy, witness)
 	}
 }
 
-// Tick lets time pass and returns the judgements that changed, in order of
-// name. When the tick itself comes late, this VM has been paused: the others'
-// silence is its own, so their clocks start anew.
+// Tick updates the states and returns those that changed, sorted by name. If the
+// tick itself is late, this VM was paused and missed the heartbeats of the others,
+// so their timeouts restart.
 func (v *VMs) Tick(now time.Duration) []VM {
 	if late := now - v.lastTick; v.lastTick != 0 && late > v.options.PausedAfter {
-		for _, known := range v.vms {
-			known.lastSign = now
+		for _, vm := range v.vms {
+			vm.lastContact = now
 		}
 	}
 	v.lastTick = now
 	var changed []VM
-	nearSuspect := v.suspectAfter()
+	localSuspectAfter := v.suspectAfter()
 	for _, name := range slices.Sorted(maps.Keys(v.vms)) {
-		known := v.vms[name]
-		if state := v.judge(now, known, nearSuspect); state != known.status.State {
-			known.status.State, known.status.Since = state, now
-			changed = append(changed, known.status)
+		vm := v.vms[name]
+		if state := v.evaluate(now, vm, localSuspectAfter); state != vm.status.State {
+			vm.status.State, vm.status.Since = state, now
+			changed = append(changed, vm.status)
 			if state == Gone {
 				v.forgetWitness(name)
 			}
@@ -137,48 +141,49 @@
 }
 
 func (v *VMs) forgetWitness(name string) {
-	for _, known := range v.vms {
-		delete(known.heard, name)
+	for _, vm := range v.vms {
+		delete(vm.reportedDownBy, name)
 	}
 }
 
-func (v *VMs) judge(now time.Duration, known *vm, nearSuspect time.Duration) State {
-	silence := now - known.lastSign
-	suspectAfter, goneAfter, heard := nearSuspect, goneFactor*nearSuspect, 0
-	if known.status.DataCentre != v.options.DataCentre {
-		// Heartbeats don't come from there, so those who get them are believed.
-		suspectAfter, goneAfter, heard = v.options.FarGoneAfter, v.options.FarGoneAfter, len(known.heard)
+func (v *VMs) evaluate(now time.Duration, vm *vmRecord, localSuspectAfter time.Duration) State {
+	silence := now - vm.lastContact
+	suspectAfter, goneAfter, downReports := localSuspectAfter, goneFactor*localSuspectAfter, 0
+	if vm.status.DataCentre != v.options.DataCentre {
+		// Heartbeats don't cross data centres, so the reports of VMs there count.
+		suspectAfter, goneAfter, downReports = v.options.FarGoneAfter, v.options.FarGoneAfter, len(vm.reportedDownBy)
 	}
-	refused := known.refused && silence >= nearSuspect
+	refused := vm.refused && silence >= localSuspectAfter
 	switch {
-	case known.left, silence >= goneAfter, refused, heard >= 2:
+	case vm.left, silence >= goneAfter, refused, downReports >= 2:
 		return Gone
-	case silence >= suspectAfter, known.refused, heard > 0:
+	case silence >= suspectAfter, vm.refused, downReports > 0:
 		return Suspect
-	case known.leaving:
+	case vm.leaving:
 		return Leaving
 	default:
 		return Live
 	}
 }
 
-// suspectAfter is how long a VM of this data centre may be without a heartbeat.
+// suspectAfter is the heartbeat timeout after which a VM of this data centre becomes
+// Suspect.
 func (v *VMs) suspectAfter() time.Duration {
-	near := 0
-	for _, known := range v.vms {
-		if known.status.DataCentre == v.options.DataCentre && known.status.State != Gone {
-			near++
+	localVMs := 0
+	for _, vm := range v.vms {
+		if vm.status.DataCentre == v.options.DataCentre && vm.status.State != Gone {
+			localVMs++
 		}
 	}
-	return time.Duration(suspectRounds+suspectPerDoubled*bits.Len(uint(near))) * v.options.Round
+	return time.Duration(suspectBaseIntervals+suspectIntervalsPerDoubling*bits.Len(uint(localVMs))) * v.options.Round
 }
 
-// Forgettable lists the VMs that have been gone for long enough to be
-// forgotten, and forgets them.
+// RemoveExpired removes the VMs that have been Gone for at least ForgetAfter, and
+// returns their names.
 func (v *VMs) Forgettable(now time.Duration) []string {
 	var names []string
-	for name, known := range v.vms {
-		if known.status.State == Gone && now-known.status.Since >= v.options.ForgetAfter {
+	for name, vm := range v.vms {
+		if vm.status.State == Gone && now-vm.status.Since >= v.options.ForgetAfter {
 			names = append(names, name)
 			delete(v.vms, name)
 		}
@@ -187,20 +192,20 @@
 	return names
 }
 
-// All lists the judgements in order of name, this VM excluded.
+// Statuses lists the states of all other VMs sorted by name.
 func (v *VMs) All() []VM {
 	all := make([]VM, 0, len(v.vms))
-	for _, known := range v.vms {
-		all = append(all, known.status)
+	for _, vm := range v.vms {
+		all = append(all, vm.status)
 	}
 	slices.SortFunc(all, func(a, b VM) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// State is the judgement on a VM; Gone when it isn't known.
+// State returns the state of a VM; Gone if it is unknown.
 func (v *VMs) State(name string) State {
-	if known, ok := v.vms[name]; ok {
-		return known.status.State
+	if vm, ok := v.vms[name]; ok {
+		return vm.status.State
 	}
 	return Gone
 }
