--- a/internal/core/digest/delta.go
+++ b/internal/core/digest/delta.go
@@ -5,136 +5,139 @@
 	"slices"
 )
 
-// Bounds on what one origin may make the others keep.
+// Limits on the memory that one origin can use on other VMs.
 const (
-	maxEntries  = 4096
-	maxGauges   = 4096
-	maxEntryLen = 16 << 10
-	// deltaHead and entryHead estimate the encoded length without keys and values.
-	deltaHead = 24
-	entryHead = 10
-	gaugeLen  = 8
+	maxEntries   = 4096
+	maxGauges    = 4096
+	maxEntrySize = 16 << 10
+	// deltaOverhead and entryOverhead estimate the encoded size in bytes without
+	// keys and values.
+	deltaOverhead = 24
+	entryOverhead = 10
+	gaugeSize     = 8
 )
 
-// Marks lists how much is known of the streams of a data centre, in order of ID.
-func (s *Store) Marks(dataCentre string, of Stream) []Mark {
-	var marks []Mark
-	for id, p := range s.parts {
-		if p.origin.DataCentre == dataCentre {
-			marks = append(marks, Mark{ID: id, Version: p.stream(of).version})
+// Watermarks returns the watermarks of a stream for all origins of a data centre,
+// sorted by ID.
+func (s *Store) Marks(dataCentre string, stream Stream) []Mark {
+	var watermarks []Mark
+	for id, r := range s.replicas {
+		if r.origin.DataCentre == dataCentre {
+			watermarks = append(watermarks, Mark{ID: id, Version: r.streamOf(stream).version})
 		}
 	}
-	slices.SortFunc(marks, func(a, b Mark) int { return cmp.Compare(a.ID, b.ID) })
-	return marks
+	slices.SortFunc(watermarks, func(a, b Mark) int { return cmp.Compare(a.ID, b.ID) })
+	return watermarks
 }
 
-// Members is the set of a data centre's origins in one number: two VMs that
-// have the same can send marks without the IDs.
+// OriginsHash returns a hash of the set of origins of a data centre. Two VMs with
+// the same hash can exchange watermarks without IDs.
 func (s *Store) Members(dataCentre string) uint64 {
 	var sum uint64
-	for id, p := range s.parts {
-		if p.origin.DataCentre == dataCentre {
-			sum ^= markHash(id, 0)
+	for id, r := range s.replicas {
+		if r.origin.DataCentre == dataCentre {
+			sum ^= watermarkHash(id, 0)
 		}
 	}
 	return sum
 }
 
-// Deltas collects what a VM with the given marks lacks of a data centre, in
-// order of ID, up to about a number of bytes. What is left out comes with a
-// later exchange.
-func (s *Store) Deltas(dataCentre string, of Stream, known []Mark, budget int) []Delta {
+// Deltas returns the changes of a data centre that a VM with the given watermarks
+// lacks, sorted by ID, up to about budget bytes. The rest is sent in a later
+// exchange.
+func (s *Store) Deltas(dataCentre string, stream Stream, known []Mark, budget int) []Delta {
 	versions := make(map[ID]uint64, len(known))
-	for _, mark := range known {
-		versions[mark.ID] = mark.Version
+	for _, watermark := range known {
+		versions[watermark.ID] = watermark.Version
 	}
 	var deltas []Delta
-	for _, mark := range s.Marks(dataCentre, of) {
-		after, met := versions[mark.ID]
-		if mark.Version <= after && (met || of == Local) {
+	for _, watermark := range s.Marks(dataCentre, stream) {
+		after, found := versions[watermark.ID]
+		if watermark.Version <= after && (found || stream == Local) {
 			continue
 		}
 		if budget <= 0 {
 			break
 		}
-		delta, size := s.parts[mark.ID].delta(of, after, budget)
+		delta, size := s.replicas[watermark.ID].delta(stream, after, budget)
 		deltas = append(deltas, delta)
 		budget -= size
 	}
 	return deltas
 }
 
-// Bare lists the origins from which a VM with the given marks lacks heartbeats
-// and nothing else, with the versions that it may take as known. Deltas would
-// cost ten times the bytes for them.
+// HeartbeatOnly returns the origins of which a VM with the given watermarks lacks
+// only heartbeats, with their current versions. Deltas for them would cost ten times
+// the bytes.
 func (s *Store) Bare(dataCentre string, known []Mark) map[ID]uint64 {
-	bare := make(map[ID]uint64)
-	for _, mark := range known {
-		p, ok := s.parts[mark.ID]
-		if ok && p.origin.DataCentre == dataCentre && p.local.version > mark.Version && !p.changedSince(mark.Version) {
-			bare[mark.ID] = p.local.version
+	versions := make(map[ID]uint64)
+	for _, watermark := range known {
+		r, ok := s.replicas[watermark.ID]
+		if ok && r.origin.DataCentre == dataCentre && r.local.version > watermark.Version && !r.changedSince(watermark.Version) {
+			versions[watermark.ID] = r.local.version
 		}
 	}
-	return bare
+	return versions
 }
 
-func (p *part) changedSince(after uint64) bool {
-	for _, entry := range p.local.entries {
-		if entry.Version > after && entry.Version <= p.local.version {
+func (r *replica) changedSince(after uint64) bool {
+	for _, entry := range r.local.entries {
+		if entry.Version > after && entry.Version <= r.local.version {
 			return true
 		}
 	}
-	for _, gauge := range p.gauges {
-		if gauge.Version > after && gauge.Version <= p.local.version {
+	for _, gauge := range r.gauges {
+		if gauge.Version > after && gauge.Version <= r.local.version {
 			return true
 		}
 	}
 	return false
 }
 
-// Pick is single entries of a VM's State, to be pushed at once. It moves no
-// mark: whoever lacks earlier changes still asks for them.
+// EntryDelta returns single entries of a VM's State, to be pushed at once. It moves
+// no watermark, so a VM that lacks earlier changes still requests them.
 func (s *Store) Pick(name string, keys ...string) (Delta, bool) {
-	p, ok := s.parts[s.byName[name]]
+	r, ok := s.replicas[s.byName[name]]
 	if !ok {
 		return Delta{}, false
 	}
-	delta := Delta{ID: p.id, Origin: p.origin, Stream: State, After: p.state.version, Upto: p.state.version}
+	delta := Delta{ID: r.id, Origin: r.origin, Stream: State, After: r.state.version, Upto: r.state.version}
 	for _, key := range keys {
-		if entry, ok := p.state.entries[key]; ok {
+		if entry, ok := r.state.entries[key]; ok {
 			delta.Entries = append(delta.Entries, entry)
 		}
 	}
 	return delta, len(delta.Entries) > 0
 }
 
-func (p *part) delta(of Stream, after uint64, budget int) (Delta, int) {
-	known := p.stream(of)
-	delta := Delta{ID: p.id, Stream: of, After: after, Upto: known.version}
-	size := deltaHead
-	if of == State {
-		delta.Purged = known.purged
-	}
-	if of == State && after == 0 {
-		delta.Origin = p.origin
-		size += len(p.origin.Name) + len(p.origin.DataCentre)
-	}
-	if after < known.purged {
+func (r *replica) delta(stream Stream, after uint64, budget int) (Delta, int) {
+	current := r.streamOf(stream)
+	delta := Delta{ID: r.id, Stream: stream, After: after, Upto: current.version}
+	size := deltaOverhead
+	if stream == State {
+		delta.Purged = current.purged
+	}
+	if stream == State && after == 0 {
+		delta.Origin = r.origin
+		size += len(r.origin.Name) + len(r.origin.DataCentre)
+	}
+	if after < current.purged {
 		delta.After, delta.Reset = 0, true
-		// A reset must be whole, since the receiver drops what it lacks.
-		budget = maxEntries * maxEntryLen
+		// A reset must be complete, because the receiver deletes entries missing
+		// from it.
+		budget = maxEntries * maxEntrySize
 	}
-	for _, entry := range known.since(delta.After) {
+	for _, entry := range current.since(delta.After) {
 		if size > budget && entry.Version > delta.After+1 && entry.Version != delta.lastVersion() {
 			delta.Upto = entry.Version - 1
 			return delta, size
 		}
 		delta.Entries = append(delta.Entries, entry)
-		size += entryHead + len(entry.Key) + len(entry.Value)
+		size += entryOverhead + len(entry.Key) + len(entry.Value)
 	}
-	if of == Local {
-		delta.Gauges = p.gaugesSince(after)
-		size += gaugeLen * len(delta.Gauges)
+	if stream == Local {
+		delta.Gauges = r.gaugesSince(after)
+		size += gaugeSize * len(delta.Gauges)
 	}
 	return delta, size
 }
@@ -146,8 +149,8 @@
 	return d.Entries[len(d.Entries)-1].Version
 }
 
-// since lists the entries that changed after a version and are covered by the mark.
-func (s *stream) since(after uint64) []Entry {
+// since returns the entries changed after a version, up to the watermark.
+func (s *streamState) since(after uint64) []Entry {
 	var entries []Entry
 	for _, entry := range s.entries {
 		if entry.Version > after && entry.Version <= s.version {
@@ -160,10 +163,10 @@
 	return entries
 }
 
-func (p *part) gaugesSince(after uint64) []Gauge {
+func (r *replica) gaugesSince(after uint64) []Gauge {
 	var gauges []Gauge
-	for _, gauge := range p.gauges {
-		if gauge.Version > after && gauge.Version <= p.local.version {
+	for _, gauge := range r.gauges {
+		if gauge.Version > after && gauge.Version <= r.local.version {
 			gauges = append(gauges, gauge)
 		}
 	}
--- a/internal/core/digest/digest_test.go
+++ b/internal/core/digest/digest_test.go
@@ -13,8 +13,7 @@
 	"oleandershunt.example/oleandershunt/internal/core/digest"
 )
 
-// The seed is fixed so that each run gives the same verdict; -rapid.seed on the
-// command line overrides it.
+// A fixed seed makes runs reproducible; -rapid.seed on the command line overrides it.
 func init() { _ = flag.Set("rapid.seed", "20261202") }
 
 const here = "bornova"
@@ -23,23 +22,23 @@
 	return digest.Origin{Name: name, DataCentre: here, Incarnation: incarnation}
 }
 
-// give moves to one store what another holds and it lacks.
-func give(from, to *digest.Store, budget int) []digest.Delta {
+// syncStores sends what one store has and the other lacks.
+func syncStores(from, to *digest.Store, budget int) []digest.Delta {
 	var sent []digest.Delta
-	for _, of := range []digest.Stream{digest.State, digest.Local} {
-		sent = append(sent, from.Deltas(here, of, to.Marks(here, of), budget)...)
+	for _, stream := range []digest.Stream{digest.State, digest.Local} {
+		sent = append(sent, from.Deltas(here, stream, to.Marks(here, stream), budget)...)
 	}
 	to.Merge(sent)
 	return sent
 }
 
-// fleetModel is three VMs that write, exchange, lose and repeat messages, with
-// what each has truly written last.
+// fleetModel is three VMs that write entries and exchange, lose and repeat messages,
+// and the entries that each has written last.
 type fleetModel struct {
-	stores  []*digest.Store
-	written []map[string]string
-	sent    []digest.Delta
-	marks   []map[digest.ID]uint64
+	stores     []*digest.Store
+	written    []map[string]string
+	sent       []digest.Delta
+	watermarks []map[digest.ID]uint64
 }
 
 func newFleetModel() *fleetModel {
@@ -49,7 +48,7 @@
 		store.Put("m", []byte("here"))
 		m.stores = append(m.stores, store)
 		m.written = append(m.written, map[string]string{"m": "here"})
-		m.marks = append(m.marks, make(map[digest.ID]uint64))
+		m.watermarks = append(m.watermarks, make(map[digest.ID]uint64))
 	}
 	return m
 }
@@ -67,7 +66,7 @@
 		"purge": func(t *rapid.T) { i := vm.Draw(t, "vm"); m.stores[i].Purge(m.stores[i].Version(digest.State)) },
 		"exchange": func(t *rapid.T) {
 			from, to := m.stores[vm.Draw(t, "from")], m.stores[vm.Draw(t, "to")]
-			m.sent = append(m.sent, give(from, to, rapid.SampledFrom([]int{1, 40, 1 << 20}).Draw(t, "budget"))...)
+			m.sent = append(m.sent, syncStores(from, to, rapid.SampledFrom([]int{1, 40, 1 << 20}).Draw(t, "budget"))...)
 		},
 		"pushOne": func(t *rapid.T) {
 			i := vm.Draw(t, "from")
@@ -85,14 +84,14 @@
 	}
 }
 
-// check: no mark ever goes down.
+// check fails if a watermark goes down.
 func (m *fleetModel) check(t *rapid.T) {
 	for i, store := range m.stores {
-		for _, mark := range store.Marks(here, digest.State) {
-			if mark.Version < m.marks[i][mark.ID] {
-				t.Fatalf("vm-%d: mark of %d went from %d to %d", i, mark.ID, m.marks[i][mark.ID], mark.Version)
+		for _, watermark := range store.Marks(here, digest.State) {
+			if watermark.Version < m.watermarks[i][watermark.ID] {
+				t.Fatalf("vm-%d: watermark of %d went from %d to %d", i, watermark.ID, m.watermarks[i][watermark.ID], watermark.Version)
 			}
-			m.marks[i][mark.ID] = mark.Version
+			m.watermarks[i][watermark.ID] = watermark.Version
 		}
 	}
 }
@@ -105,10 +104,9 @@
 	return values
 }
 
-// Symptom: after a partition VMs differ for ever, or one goes back to what was
-// withdrawn. Sequence: writes, withdrawals, exchanges cut short, single entries
-// pushed, old messages repeated, forgotten withdrawals, in any order. Cause: a
-// merge that takes what is late for what is new.
+// Writes, deletions, truncated exchanges, pushed single entries, repeated old
+// messages and purged tombstones in any order must leave all VMs with the same
+// state, without restoring deleted entries.
 func TestAnyOrderOfMessagesConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newFleetModel()
@@ -124,13 +122,14 @@
 	for range 4 {
 		for i := range m.stores {
 			for j := range m.stores {
-				give(m.stores[i], m.stores[j], 1<<20)
+				syncStores(m.stores[i], m.stores[j], 1<<20)
 			}
 		}
 	}
 }
 
-// checkAgreement: every VM holds of one what that one wrote.
+// checkAgreement fails if a VM's copy of another VM's entries differs from what that
+// VM wrote.
 func (m *fleetModel) checkAgreement(t *rapid.T, i int) {
 	maps.DeleteFunc(m.written[i], func(_, value string) bool { return value == "" })
 	for j, store := range m.stores {
@@ -138,49 +137,46 @@
 			t.Fatalf("vm-%d holds %v of vm-%d, which wrote %v", j, got, i, m.written[i])
 		}
 		if store.Sum(here) != m.stores[0].Sum(here) {
-			t.Fatalf("equal states have unequal sums")
+			t.Fatalf("equal states have different hashes")
 		}
 	}
 }
 
-// Symptom: an opinion that was withdrawn an hour ago is back on one VM.
-// Sequence: the withdrawal spreads and is forgotten everywhere; then a copy of
-// the entry, pushed long ago, arrives. Cause: nothing was left to compare it with.
-func TestALateCopyDoesNotBringBackWhatWasWithdrawnAndForgotten(t *testing.T) {
+// A tombstone spreads and is purged everywhere; then an old pushed copy of the entry
+// arrives and must not restore it.
+func TestALateCopyDoesNotRestoreAPurgedEntry(t *testing.T) {
 	g := NewWithT(t)
 	a, b := digest.NewStore(origin("a", 1)), digest.NewStore(origin("b", 1))
 	b.Put("s/x", []byte("silent"))
 	late, ok := b.Pick("b", "s/x")
 	g.Expect(ok).To(BeTrue())
 	b.Put("s/x", nil)
-	give(b, a, 1<<20)
+	syncStores(b, a, 1<<20)
 	b.Purge(b.Version(digest.State))
-	give(b, a, 1<<20)
+	syncStores(b, a, 1<<20)
 	g.Expect(a.Merge([]digest.Delta{late}).Changes).To(BeEmpty())
 	g.Expect(state(a, "b")).To(BeEmpty())
 }
 
-// Symptom: a VM that is gone keeps coming back. Sequence: one VM forgets it;
-// another, which has not yet, sends what it holds. Cause: what is held of a dead
-// process looks like news to whoever has forgotten it.
-func TestAForgottenProcessReturnsOnlyIfItMovedOn(t *testing.T) {
+// One VM forgets a dead process while another still sends its copy of it. The copy
+// must not bring the process back.
+func TestAForgottenProcessReturnsOnlyIfItsStateAdvanced(t *testing.T) {
 	g := NewWithT(t)
 	a, b, gone := digest.NewStore(origin("a", 1)), digest.NewStore(origin("b", 1)), digest.NewStore(origin("gone", 1))
 	gone.Put("m", []byte("1"))
-	give(gone, a, 1<<20)
-	give(gone, b, 1<<20)
+	syncStores(gone, a, 1<<20)
+	syncStores(gone, b, 1<<20)
 	a.Forget("gone")
-	give(b, a, 1<<20)
+	syncStores(b, a, 1<<20)
 	g.Expect(a.DataCentre("gone")).To(BeEmpty())
 	gone.Put("t", []byte("2"))
-	give(gone, b, 1<<20)
-	give(b, a, 1<<20)
-	g.Expect(a.DataCentre("gone")).To(Equal(here), "it lives and was only cut off")
+	syncStores(gone, b, 1<<20)
+	syncStores(b, a, 1<<20)
+	g.Expect(a.DataCentre("gone")).To(Equal(here), "the process is alive and was only partitioned")
 }
 
-// Symptom: a VM acts on what a former process under the same name said.
-// Sequence: the VM is replaced; old deltas of the former process arrive late.
-// Cause: origins were told apart by name.
+// A VM is replaced under the same name and old deltas of the earlier process arrive
+// late. They must not change the state of the new process.
 func TestALateDeltaOfAnEarlierProcessIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	a, before, after := digest.NewStore(origin("a", 1)), digest.NewStore(origin("b", 1)), digest.NewStore(origin("b", 2))
--- a/internal/core/digest/merge.go
+++ b/internal/core/digest/merge.go
@@ -1,74 +1,76 @@
 package digest
 
-// Merged is the consequence of a merge.
-type Merged struct {
-	// Changes are the entries that are new here.
+// MergeResult is the result of a merge.
+type MergeResult struct {
+	// Changes are the entries that are new to this store.
 	Changes []Change
-	// Gauges are those that are new here, with the beats since they were measured.
+	// Gauges are the gauges that are new to this store.
 	Gauges []FreshGauge
-	// Beats are the VMs whose Local stream has moved on.
+	// Heartbeats lists the VMs whose Local stream has advanced.
 	Beats []string
-	// Joined are origins met for the first time; Replaced are those of earlier
-	// processes which they displace.
+	// Joined are the origins seen for the first time. Replaced are the origins of
+	// earlier processes that they supersede.
 	Joined   []Origin
 	Replaced []Origin
-	// Rival is an incarnation of this VM's name that is not below its own; 0 if none.
+	// ConflictingIncarnation is an incarnation of this VM's name that is not lower
+	// than its own; 0 if none.
 	Rival uint64
 }
 
-// FreshGauge is a gauge that is new here.
+// GaugeUpdate is a gauge that is new to this store.
 type FreshGauge struct {
 	Key   uint32
 	Level uint32
-	// Witness is the VM that measured.
+	// Witness is the VM that measured it.
 	Witness string
-	// Beats is how many heartbeats of the witness ago that was.
+	// HeartbeatsAgo is the age of the measurement in heartbeats of the witness.
 	Beats uint64
 }
 
-// Merge takes deltas. What is not newer than what is known changes nothing.
-func (s *Store) Merge(deltas []Delta) Merged {
-	var merged Merged
+// Merge applies deltas. Changes that are not newer than the known state are ignored.
+func (s *Store) Merge(deltas []Delta) MergeResult {
+	var merged MergeResult
 	for _, delta := range deltas {
-		s.merge(delta, &merged)
+		s.mergeDelta(delta, &merged)
 	}
 	return merged
 }
 
-// Beats takes heartbeats that came without anything else, as Bare lists them,
-// and returns the VMs that have moved on.
-func (s *Store) Beats(marks []Mark) []string {
+// ApplyHeartbeats applies heartbeats without other changes, as returned by
+// HeartbeatOnly, and returns the VMs that have advanced.
+func (s *Store) Beats(watermarks []Mark) []string {
 	var names []string
-	for _, mark := range marks {
-		p, ok := s.parts[mark.ID]
-		if ok && p != s.self && mark.Version > p.local.version {
-			p.local.version = mark.Version
-			names = append(names, p.origin.Name)
+	for _, watermark := range watermarks {
+		r, ok := s.replicas[watermark.ID]
+		if ok && r != s.self && watermark.Version > r.local.version {
+			r.local.version = watermark.Version
+			names = append(names, r.origin.Name)
 		}
 	}
 	return names
 }
 
-func (s *Store) merge(delta Delta, merged *Merged) {
+func (s *Store) mergeDelta(delta Delta, merged *MergeResult) {
 	if delta.ID == s.self.id {
 		return
 	}
-	p, ok := s.parts[delta.ID]
+	r, ok := s.replicas[delta.ID]
 	if !ok {
-		if p = s.admit(delta, merged); p == nil {
+		if r = s.addOrigin(delta, merged); r == nil {
 			return
 		}
 	}
 	if delta.Stream == Local {
-		mergeLocal(p, delta, merged)
+		mergeLocal(r, delta, merged)
 		return
 	}
-	s.mergeState(p, delta, merged)
+	s.mergeState(r, delta, merged)
 }
 
-// admit makes a part for an origin met for the first time, unless it is
-// forgotten, older than what is known of the VM, or not what its ID says.
-func (s *Store) admit(delta Delta, merged *Merged) *part {
+// addOrigin adds a replica for an origin seen for the first time. It returns nil if
+// the origin was forgotten, is older than the known process of the VM, or doesn't
+// match its ID.
+func (s *Store) addOrigin(delta Delta, merged *MergeResult) *replica {
 	if delta.Origin.Name == "" || delta.Origin.ID() != delta.ID {
 		return nil
 	}
@@ -81,89 +83,89 @@
 		}
 		return nil
 	}
-	if known, ok := s.parts[s.byName[delta.Origin.Name]]; ok {
+	if known, ok := s.replicas[s.byName[delta.Origin.Name]]; ok {
 		if known.origin.Incarnation >= delta.Origin.Incarnation {
 			return nil
 		}
 		merged.Replaced = append(merged.Replaced, known.origin)
 		s.remove(known.id)
 	}
-	p := newPart(delta.Origin)
-	s.add(p)
-	delete(s.forgotten, p.id)
-	merged.Joined = append(merged.Joined, p.origin)
-	return p
+	r := newReplica(delta.Origin)
+	s.add(r)
+	delete(s.forgotten, r.id)
+	merged.Joined = append(merged.Joined, r.origin)
+	return r
 }
 
-func (s *Store) mergeState(p *part, delta Delta, merged *Merged) {
-	if delta.Reset && delta.Upto > p.state.version {
-		p.withdrawMissing(delta, merged)
+func (s *Store) mergeState(r *replica, delta Delta, merged *MergeResult) {
+	if delta.Reset && delta.Upto > r.state.version {
+		r.deleteMissing(delta, merged)
 	}
 	for _, entry := range delta.Entries {
-		p.take(&p.state, State, entry, merged)
+		r.applyEntry(&r.state, State, entry, merged)
 	}
-	// A delta that starts above the mark has a gap before it: its entries count,
-	// but the mark stays, so that the gap is asked for again.
-	if delta.After <= p.state.version && delta.Upto > p.state.version {
-		s.setStateVersion(p, delta.Upto)
+	// A delta that starts above the watermark leaves a gap. Its entries are applied,
+	// but the watermark stays, so that the missing changes are requested again.
+	if delta.After <= r.state.version && delta.Upto > r.state.version {
+		s.setStateVersion(r, delta.Upto)
 	}
-	if p.state.version >= delta.Purged {
-		p.state.purge(delta.Purged)
-		p.state.purged = max(p.state.purged, delta.Purged)
+	if r.state.version >= delta.Purged {
+		r.state.purgeTombstones(delta.Purged)
+		r.state.purged = max(r.state.purged, delta.Purged)
 	}
 }
 
-func (p *part) withdrawMissing(delta Delta, merged *Merged) {
+func (r *replica) deleteMissing(delta Delta, merged *MergeResult) {
 	kept := make(map[string]struct{}, len(delta.Entries))
 	for _, entry := range delta.Entries {
 		kept[entry.Key] = struct{}{}
 	}
-	for key, entry := range p.state.entries {
+	for key, entry := range r.state.entries {
 		if _, ok := kept[key]; ok || entry.Version > delta.Upto {
 			continue
 		}
-		delete(p.state.entries, key)
+		delete(r.state.entries, key)
 		if len(entry.Value) > 0 {
-			merged.Changes = append(merged.Changes, Change{Origin: p.origin, Stream: State, Key: key})
+			merged.Changes = append(merged.Changes, Change{Origin: r.origin, Stream: State, Key: key})
 		}
 	}
 }
 
-func mergeLocal(p *part, delta Delta, merged *Merged) {
+func mergeLocal(r *replica, delta Delta, merged *MergeResult) {
 	for _, entry := range delta.Entries {
-		p.take(&p.local, Local, entry, merged)
+		r.applyEntry(&r.local, Local, entry, merged)
 	}
 	for _, gauge := range delta.Gauges {
-		current, ok := p.gauges[gauge.Key]
-		if (ok && current.Version >= gauge.Version) || (!ok && len(p.gauges) >= maxGauges) {
+		current, ok := r.gauges[gauge.Key]
+		if (ok && current.Version >= gauge.Version) || (!ok && len(r.gauges) >= maxGauges) {
 			continue
 		}
-		p.gauges[gauge.Key] = gauge
+		r.gauges[gauge.Key] = gauge
 		merged.Gauges = append(merged.Gauges, FreshGauge{
-			Key: gauge.Key, Level: gauge.Level, Witness: p.origin.Name, Beats: delta.Upto - min(gauge.Version, delta.Upto),
+			Key: gauge.Key, Level: gauge.Level, Witness: r.origin.Name, Beats: delta.Upto - min(gauge.Version, delta.Upto),
 		})
 	}
-	if delta.After <= p.local.version && delta.Upto > p.local.version {
-		p.local.version = delta.Upto
-		merged.Beats = append(merged.Beats, p.origin.Name)
+	if delta.After <= r.local.version && delta.Upto > r.local.version {
+		r.local.version = delta.Upto
+		merged.Beats = append(merged.Beats, r.origin.Name)
 	}
 }
 
-func (p *part) take(into *stream, of Stream, entry Entry, merged *Merged) {
+func (r *replica) applyEntry(into *streamState, stream Stream, entry Entry, merged *MergeResult) {
 	current, ok := into.entries[entry.Key]
 	if ok && current.Version >= entry.Version {
 		return
 	}
 	if !ok && entry.Version <= into.version {
-		// Everything up to the mark is known, so the entry was withdrawn since
-		// and the withdrawal forgotten. A late copy must not bring it back.
+		// All changes up to the watermark are known, so the entry was deleted and its
+		// tombstone purged. A late copy must not restore it.
 		return
 	}
-	if len(entry.Key)+len(entry.Value) > maxEntryLen || (!ok && len(into.entries) >= maxEntries) {
+	if len(entry.Key)+len(entry.Value) > maxEntrySize || (!ok && len(into.entries) >= maxEntries) {
 		return
 	}
 	into.entries[entry.Key] = entry
 	if ok || len(entry.Value) > 0 {
-		merged.Changes = append(merged.Changes, Change{Origin: p.origin, Stream: of, Key: entry.Key, Value: entry.Value})
+		merged.Changes = append(merged.Changes, Change{Origin: r.origin, Stream: stream, Key: entry.Key, Value: entry.Value})
 	}
 }
--- a/internal/core/digest/store.go
+++ b/internal/core/digest/store.go
@@ -6,79 +6,80 @@
 	"slices"
 )
 
-// maxForgotten bounds the origins remembered as forgotten: a few days of
-// replaced VMs, while the others forget one within minutes of each other.
+// maxForgotten limits the remembered forgotten origins. 4096 cover a few days of
+// replaced VMs, while all VMs forget an origin within minutes of each other.
 const maxForgotten = 4096
 
-// part is what is known of one origin.
-type part struct {
+// replica is the known state of one origin.
+type replica struct {
 	origin Origin
 	id     ID
-	state  stream
-	local  stream
+	state  streamState
+	local  streamState
 	gauges map[uint32]Gauge
 }
 
-// stream is one stream of a part as far as it is known.
-type stream struct {
-	// version is the mark: every change up to it is known.
+// streamState is the known state of one stream of an origin.
+type streamState struct {
+	// version is the watermark: every change up to it is known.
 	version uint64
-	// purged is the newest withdrawal that was forgotten. Whoever knows less
-	// than this gets the whole stream, or it would keep withdrawn entries.
+	// purged is the version of the newest purged tombstone. A VM with a lower
+	// watermark gets the whole stream; otherwise it would keep deleted entries.
 	purged  uint64
 	entries map[string]Entry
 }
 
-func newPart(origin Origin) *part {
-	return &part{
+func newReplica(origin Origin) *replica {
+	return &replica{
 		origin: origin,
 		id:     origin.ID(),
-		state:  stream{entries: make(map[string]Entry)},
-		local:  stream{entries: make(map[string]Entry)},
+		state:  streamState{entries: make(map[string]Entry)},
+		local:  streamState{entries: make(map[string]Entry)},
 		gauges: make(map[uint32]Gauge),
 	}
 }
 
-func (p *part) stream(s Stream) *stream {
-	if s == State {
-		return &p.state
+func (r *replica) streamOf(stream Stream) *streamState {
+	if stream == State {
+		return &r.state
 	}
-	return &p.local
+	return &r.local
 }
 
-// Store is all parts that a VM knows, its own included. It is not safe for
-// concurrent use.
+// Store holds the replicas of all known origins, including this VM's own. It is not
+// safe for concurrent use.
 type Store struct {
-	self  *part
-	parts map[ID]*part
-	// byName is the newest process known of each VM.
+	self     *replica
+	replicas map[ID]*replica
+	// byName maps each VM to its newest known process.
 	byName map[string]ID
-	// forgotten are origins that were dropped, with their State's version: what
-	// others still hold of them is not taken back, unless it has moved on.
+	// forgotten maps removed origins to the version of their State. Copies that
+	// other VMs still send are ignored unless they are newer.
 	forgotten      map[ID]uint64
 	forgottenOrder []ID
-	// sums fold the marks of the State streams of each data centre into one
-	// number, so that equal states are recognised without sending the marks.
-	sums map[string]uint64
+	// stateHashes holds a hash of the State watermarks of each data centre, so that
+	// equal states are detected without sending the watermarks.
+	stateHashes map[string]uint64
 }
 
-// NewStore makes a store with this VM's empty part.
+// NewStore returns a store with an empty replica for this VM.
 func NewStore(self Origin) *Store {
 	s := &Store{
-		self:      newPart(self),
-		parts:     make(map[ID]*part),
-		byName:    make(map[string]ID),
-		forgotten: make(map[ID]uint64),
-		sums:      make(map[string]uint64),
+		self:        newReplica(self),
+		replicas:    make(map[ID]*replica),
+		byName:      make(map[string]ID),
+		forgotten:   make(map[ID]uint64),
+		stateHashes: make(map[string]uint64),
 	}
 	s.add(s.self)
 	return s
 }
 
-// Self is the origin of this VM's part.
+// Self returns this VM's origin.
 func (s *Store) Self() Origin { return s.self.origin }
 
-// Put writes an entry of this VM's State. The same value again changes nothing.
+// Put writes an entry of this VM's State and reports whether it changed. An empty
+// value deletes it.
 func (s *Store) Put(key string, value []byte) bool {
 	if current, ok := s.self.state.entries[key]; ok && slices.Equal(current.Value, value) {
 		return false
@@ -90,7 +91,8 @@
 	return true
 }
 
-// PutLocal writes an entry of this VM's Local stream, to be seen from the next Beat on.
+// PutLocal writes an entry of this VM's Local stream. It is sent after the next
+// Heartbeat.
 func (s *Store) PutLocal(key string, value []byte) {
 	local := &s.self.local
 	if current, ok := local.entries[key]; ok && slices.Equal(current.Value, value) {
@@ -99,7 +101,7 @@
 	local.entries[key] = Entry{Key: key, Value: value, Version: local.version + 1}
 }
 
-// PutGauge writes a gauge, to be seen from the next Beat on.
+// PutGauge writes a gauge. It is sent after the next Heartbeat.
 func (s *Store) PutGauge(key, level uint32) {
 	if current, ok := s.self.gauges[key]; ok && current.Level == level {
 		return
@@ -107,20 +109,21 @@
 	s.self.gauges[key] = Gauge{Key: key, Level: level, Version: s.self.local.version + 1}
 }
 
-// DropGauge ends this VM's reports of what another VM reports from now on.
+// DropGauge deletes this VM's gauge when another VM takes over its measurement.
 func (s *Store) DropGauge(key uint32) { delete(s.self.gauges, key) }
 
-// Beat raises the version of the Local stream: the VM lives.
+// Heartbeat increments the version of this VM's Local stream.
 func (s *Store) Beat() { s.self.local.version++ }
 
-// Rebirth moves this VM's part to a higher incarnation. It is needed when an
-// earlier process under the name claims a higher one, as after a clock was set back.
+// SetIncarnation moves this VM's replica to a higher incarnation. It is needed when
+// an earlier process with the same name has a higher one, for example after the
+// clock was set back.
 func (s *Store) Rebirth(incarnation uint64) {
 	old := s.self
 	s.remove(old.id)
 	origin := old.origin
 	origin.Incarnation = incarnation
-	s.self = newPart(origin)
+	s.self = newReplica(origin)
 	s.self.state.entries, s.self.local.entries, s.self.gauges = old.state.entries, old.local.entries, old.gauges
 	s.self.local.version = old.local.version
 	s.self.state.purged = old.state.purged
@@ -128,16 +131,16 @@
 	s.setStateVersion(s.self, old.state.version)
 }
 
-// Purge forgets withdrawals of this VM's State up to a version, here and, with
-// the next exchange, on the other VMs.
+// PurgeTombstones removes the tombstones of this VM's State up to a version, here
+// and, with the next exchange, on the other VMs.
 func (s *Store) Purge(upto uint64) {
 	before := s.self.state.purged
-	if s.self.state.purge(upto); s.self.state.purged > before {
+	if s.self.state.purgeTombstones(upto); s.self.state.purged > before {
 		s.setStateVersion(s.self, s.self.state.version+1)
 	}
 }
 
-func (s *stream) purge(upto uint64) {
+func (s *streamState) purgeTombstones(upto uint64) {
 	for key, entry := range s.entries {
 		if len(entry.Value) == 0 && entry.Version <= upto {
 			delete(s.entries, key)
@@ -146,18 +149,18 @@
 	}
 }
 
-// Version is the version of this VM's stream.
-func (s *Store) Version(of Stream) uint64 { return s.self.stream(of).version }
+// Version returns the version of one of this VM's streams.
+func (s *Store) Version(stream Stream) uint64 { return s.self.streamOf(stream).version }
 
-// Forget drops the part of a VM that is gone. What other VMs still hold of that
-// process is not taken back, unless its State has moved on, which proves that
-// the process lives and was only cut off.
+// Forget removes the replica of a VM that is gone. Copies of that process from other
+// VMs are ignored unless its State has advanced, which proves that the process is
+// alive and was only partitioned.
 func (s *Store) Forget(name string) {
 	id, ok := s.byName[name]
 	if !ok || id == s.self.id {
 		return
 	}
-	s.forgotten[id] = s.parts[id].state.version
+	s.forgotten[id] = s.replicas[id].state.version
 	s.forgottenOrder = append(s.forgottenOrder, id)
 	if len(s.forgottenOrder) > maxForgotten {
 		delete(s.forgotten, s.forgottenOrder[0])
@@ -166,72 +169,72 @@
 	s.remove(id)
 }
 
-// Origins lists all origins in order of name.
+// Origins returns all origins sorted by name.
 func (s *Store) Origins() []Origin {
-	origins := make([]Origin, 0, len(s.parts))
-	for _, p := range s.parts {
-		origins = append(origins, p.origin)
+	origins := make([]Origin, 0, len(s.replicas))
+	for _, r := range s.replicas {
+		origins = append(origins, r.origin)
 	}
 	slices.SortFunc(origins, func(a, b Origin) int { return cmp.Compare(a.Name, b.Name) })
 	return origins
 }
 
-// DataCentres lists the data centres with an origin, sorted.
-func (s *Store) DataCentres() []string { return slices.Sorted(maps.Keys(s.sums)) }
+// DataCentres returns the data centres with at least one origin, sorted.
+func (s *Store) DataCentres() []string { return slices.Sorted(maps.Keys(s.stateHashes)) }
 
-// Sum is the State of a data centre in one number.
-func (s *Store) Sum(dataCentre string) uint64 { return s.sums[dataCentre] }
+// StateHash returns a hash of the State watermarks of a data centre.
+func (s *Store) Sum(dataCentre string) uint64 { return s.stateHashes[dataCentre] }
 
-// Entry finds an entry of a VM's newest process.
-func (s *Store) Entry(name string, of Stream, key string) ([]byte, bool) {
-	p, ok := s.parts[s.byName[name]]
+// Entry returns the value of an entry of a VM's newest process.
+func (s *Store) Entry(name string, stream Stream, key string) ([]byte, bool) {
+	r, ok := s.replicas[s.byName[name]]
 	if !ok {
 		return nil, false
 	}
-	entry, ok := p.stream(of).entries[key]
+	entry, ok := r.streamOf(stream).entries[key]
 	return entry.Value, ok && len(entry.Value) > 0
 }
 
-// Changes lists all entries of State of a VM's newest process, in order of key.
+// Changes returns all State entries of a VM's newest process, sorted by key.
 func (s *Store) Changes(name string) []Change {
-	p, ok := s.parts[s.byName[name]]
+	r, ok := s.replicas[s.byName[name]]
 	if !ok {
 		return nil
 	}
 	var changes []Change
-	for _, key := range slices.Sorted(maps.Keys(p.state.entries)) {
-		if value := p.state.entries[key].Value; len(value) > 0 {
-			changes = append(changes, Change{Origin: p.origin, Stream: State, Key: key, Value: value})
+	for _, key := range slices.Sorted(maps.Keys(r.state.entries)) {
+		if value := r.state.entries[key].Value; len(value) > 0 {
+			changes = append(changes, Change{Origin: r.origin, Stream: State, Key: key, Value: value})
 		}
 	}
 	return changes
 }
 
-// DataCentre is where a VM stands; empty when it isn't known.
+// DataCentre returns the data centre of a VM; empty if the VM is unknown.
 func (s *Store) DataCentre(name string) string {
-	if p, ok := s.parts[s.byName[name]]; ok {
-		return p.origin.DataCentre
+	if r, ok := s.replicas[s.byName[name]]; ok {
+		return r.origin.DataCentre
 	}
 	return ""
 }
 
-func (s *Store) add(p *part) {
-	s.parts[p.id] = p
-	s.byName[p.origin.Name] = p.id
-	s.sums[p.origin.DataCentre] ^= markHash(p.id, p.state.version)
+func (s *Store) add(r *replica) {
+	s.replicas[r.id] = r
+	s.byName[r.origin.Name] = r.id
+	s.stateHashes[r.origin.DataCentre] ^= watermarkHash(r.id, r.state.version)
 }
 
 func (s *Store) remove(id ID) {
-	p := s.parts[id]
-	delete(s.parts, id)
-	delete(s.byName, p.origin.Name)
-	s.sums[p.origin.DataCentre] ^= markHash(id, p.state.version)
-	if s.sums[p.origin.DataCentre] == 0 {
-		delete(s.sums, p.origin.DataCentre)
+	r := s.replicas[id]
+	delete(s.replicas, id)
+	delete(s.byName, r.origin.Name)
+	s.stateHashes[r.origin.DataCentre] ^= watermarkHash(id, r.state.version)
+	if s.stateHashes[r.origin.DataCentre] == 0 {
+		delete(s.stateHashes, r.origin.DataCentre)
 	}
 }
 
-func (s *Store) setStateVersion(p *part, version uint64) {
-	s.sums[p.origin.DataCentre] ^= markHash(p.id, p.state.version) ^ markHash(p.id, version)
-	p.state.version = version
+func (s *Store) setStateVersion(r *replica, version uint64) {
+	s.stateHashes[r.origin.DataCentre] ^= watermarkHash(r.id, r.state.version) ^ watermarkHash(r.id, version)
+	r.state.version = version
 }
