--- a/internal/core/poison/poison.go
+++ b/internal/core/poison/poison.go
@@ -1,7 +1,7 @@
-// Package poison finds the bodies that crash the backend servers which run
-// them. A crash makes suspects of all bodies that were on the server; only
-// another crash narrows them down, so that a request's innocent neighbours in
-// a batch are suspected for a while but not refused.
+// Package poison detects request bodies that crash the backend servers that run
+// them. After a crash, all bodies that were running on the server are suspects. Only
+// further crashes narrow them down, so that innocent requests of the same batch are
+// suspected for a while but not refused.
 package poison
 
 import (
@@ -10,39 +10,40 @@
 	"time"
 )
 
-// Body identifies what a request asks: the same body under another idempotency
-// key is the same suspect.
+// Body identifies the content of a request. The same content with another
+// idempotency key is the same suspect.
 type Body struct {
 	Account string
-	// Pipeline is the pipeline, or the route of a plain service.
+	// Pipeline is the pipeline, or the route if the service has no pipeline.
 	Pipeline string
-	// Hash is the hash of the request's body. 0 means unknown.
+	// Hash is the hash of the request's body; 0 if unknown.
 	Hash uint64
 }
 
-// Level is how a body is to be treated.
+// Level is the restriction on running a body.
 type Level int
 
-// The levels, in order of suspicion.
+// The levels, from the least to the most restrictive.
 const (
-	// Clear: nothing is held against the body.
+	// Clear: no crash is attributed to the body.
 	Clear Level = iota
-	// Suspect: it was on one server that crashed. One at a time may run.
+	// Suspect: it was running on one server that crashed. One request at a time may
+	// run.
 	Suspect
-	// Isolate: it was on several, and is not the only one that could be to
-	// blame. It may run on servers that run no other isolated body.
+	// Isolate: it was running on several servers that crashed, but so were other
+	// suspects. It may run on servers that run no other isolated body.
 	Isolate
-	// Condemned: it alone explains the crashes. It may not run.
+	// Blocked: it is the only body that explains the crashes. It may not run.
 	Condemned
 )
 
 // Options are the settings of a Table. A zero field takes its default.
 type Options struct {
-	// SuspectTime is how long a crash is held against a body. Default 10 minutes.
+	// SuspectTime is how long a crash counts against a body. Default 10 minutes.
 	SuspectTime time.Duration `json:"suspectTime,omitempty"`
-	// CondemnedTime is how long a condemned body is refused. Default 1 hour.
+	// CondemnedTime is how long a blocked body is refused. Default 1 hour.
 	CondemnedTime time.Duration `json:"condemnedTime,omitempty"`
-	// Bodies bounds the bodies held. Default 4096.
+	// Bodies is the maximum number of bodies in the table. Default 4096.
 	Bodies int `json:"bodies,omitempty"`
 }
 
@@ -50,52 +51,54 @@
 	defaultSuspectTime   = 10 * time.Minute
 	defaultCondemnedTime = time.Hour
 	defaultBodies        = 4096
-	// crashesToCondemn is the crashes after which a body that alone explains
-	// them is condemned even if it made progress in between.
-	crashesToCondemn = 3
-	// crashesToIsolate is the crashes after which a body may not run with others.
+	// crashesToBlock is the number of crashes after which a body that alone explains
+	// them is blocked even if it made progress in between.
+	crashesToBlock = 3
+	// crashesToIsolate is the number of crashes after which a body may not run
+	// together with others.
 	crashesToIsolate = 2
-	// ProgressTokens is the tokens which a request delivers past the place of
-	// its last crash before that crash counts as another's.
+	// MinProgressTokens is the number of tokens that a request must deliver beyond
+	// the position of its last crash for that crash to be attributed to another
+	// request.
 	ProgressTokens = 16
 )
 
-// Finding is what is held against a body.
+// Finding is the evidence against a body.
 type Finding struct {
 	Body
 	Crashes   int
 	Condemned bool
-	// Suspected says that the crash is not proven: a connection was lost.
+	// Unproven is set if the crash is not proven: only a connection was lost.
 	Suspected bool
-	// Server is the backend server of the last crash, and Incarnation the
-	// process that was lost there. 0 means not known.
+	// Server is the backend server of the last crash, and Incarnation its process;
+	// 0 if unknown.
 	Server      string
 	Incarnation uint64
 	// At is the time of the last crash.
 	At time.Duration
-	// places are the processes that crashed.
-	places map[place]bool
+	// crashSites are the processes that crashed.
+	crashSites map[crashSite]bool
 }
 
-// Table holds the findings of one VM and those that it learned from others. It
-// is not safe for concurrent use.
+// Table holds the findings of one VM and those received from other VMs. It is not
+// safe for concurrent use.
 type Table struct {
 	options Options
 	bodies  map[Body]*list.Element
-	// order has the findings in order of their last change, the oldest first.
+	// order contains the findings by the time of their last change, oldest first.
 	order   list.List
 	crashes map[string]*crash
-	// pending counts the crashes in progress at which a body was on the server.
-	pending map[Body]int
-	// verdicts are the condemnations that wait for a word from other VMs.
-	verdicts map[Body]verdict
-	// elsewhere are the losses that other VMs know of and that are not proven.
-	elsewhere map[Body]map[place]time.Duration
-	// seen is the incarnation that each backend server last reported.
-	seen map[string]uint64
+	// pendingCrashes counts, by body, the unevaluated crashes of servers that ran it.
+	pendingCrashes map[Body]int
+	// pendingBlocks are the blocks that wait for findings of other VMs.
+	pendingBlocks map[Body]pendingBlock
+	// remoteLosses are the unproven losses reported by other VMs, with their expiry.
+	remoteLosses map[Body]map[crashSite]time.Duration
+	// incarnations maps each backend server to its last reported incarnation.
+	incarnations map[string]uint64
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New(options Options) *Table {
 	if options.SuspectTime <= 0 {
 		options.SuspectTime = defaultSuspectTime
@@ -107,27 +110,27 @@
 		options.Bodies = defaultBodies
 	}
 	return &Table{
-		options: options,
-		bodies:  make(map[Body]*list.Element),
-		crashes: make(map[string]*crash),
-		pending: make(map[Body]int),
-		seen:    make(map[string]uint64),
+		options:        options,
+		bodies:         make(map[Body]*list.Element),
+		crashes:        make(map[string]*crash),
+		pendingCrashes: make(map[Body]int),
+		incarnations:   make(map[string]uint64),
 
-		verdicts:  make(map[Body]verdict),
-		elsewhere: make(map[Body]map[place]time.Duration),
+		pendingBlocks: make(map[Body]pendingBlock),
+		remoteLosses:  make(map[Body]map[crashSite]time.Duration),
 	}
 }
 
-// Len is the number of bodies held.
+// Len returns the number of bodies in the table.
 func (t *Table) Len() int { return t.order.Len() }
 
-// Level tells how a body is to be treated now.
+// Level returns the current restriction on a body.
 func (t *Table) Level(now time.Duration, body Body) Level {
 	if body.Hash == 0 {
 		return Clear
 	}
 	finding := t.find(now, body)
-	crashes := t.count(now, body) + t.lostElsewhere(body)
+	crashes := t.provenCrashes(now, body) + t.remoteLossCount(body)
 	switch {
 	case finding != nil && finding.Condemned:
 		return Condemned
@@ -140,72 +143,74 @@
 	}
 }
 
-// Acquit clears a body that ran to its end. A condemned one stays condemned:
-// it does not run here, so the run is an earlier one that ended late.
+// ClearSuspicion clears a body that ran to completion. A blocked body stays blocked:
+// it can't have run on this VM since, so the run is an earlier one that ended late.
 func (t *Table) Acquit(body Body) {
 	element, ok := t.bodies[body]
 	if ok && !element.Value.(*Finding).Condemned {
-		t.drop(element)
+		t.remove(element)
 	}
-	delete(t.elsewhere, body)
+	delete(t.remoteLosses, body)
 }
 
-// Cleared is Acquit for a body that ran well while losses of it wait for judgement:
-// what many ask for again and again is on every server that crashes, and it is the
-// one thing that a body which crashes servers can't do.
+// ClearSuspicionAndLosses is ClearSuspicion that also discards unevaluated losses of
+// the body. A body that is requested very often runs on every server that crashes;
+// that it completes is the one thing that a body which crashes servers can't do.
 func (t *Table) Cleared(body Body) {
 	t.Acquit(body)
-	if t.pending[body] == 0 {
+	if t.pendingCrashes[body] == 0 {
 		return
 	}
 	for _, c := range t.crashes {
 		delete(c.bodies, body)
 	}
-	delete(t.pending, body)
+	delete(t.pendingCrashes, body)
 }
 
-// Learn takes another VM's finding. The crashes of several VMs are the union of
-// the processes that they lost, and never fewer than one VM counted, so that the
-// order in which word arrives makes no difference. It returns whether the body
-// is condemned by it.
+// MergeFinding merges a finding of another VM. The crashes of several VMs are the
+// union of the crashed processes, and at least as many as any single VM counted, so
+// the result doesn't depend on the order of arrival. It reports whether the finding
+// newly blocks the body.
 func (t *Table) Learn(now time.Duration, learned Finding) bool {
 	if learned.Hash == 0 || t.expired(now, &learned) {
 		return false
 	}
 	if learned.Suspected {
-		t.suspectElsewhere(now, learned)
+		t.addRemoteLoss(now, learned)
 		return false
 	}
-	t.settleElsewhere(learned)
-	t.share(learned)
+	t.removeRemoteLoss(learned)
+	t.cancelConflictingBlocks(learned)
 	finding := t.find(now, learned.Body)
 	if finding == nil {
 		finding = t.add(learned.Body)
 	}
 	newly := learned.Condemned && !finding.Condemned
-	finding.crashedAt(placeOf(learned.Server, learned.Incarnation))
-	finding.Crashes = max(finding.Crashes, learned.Crashes, len(finding.places))
+	finding.addCrashSite(crashSiteOf(learned.Server, learned.Incarnation))
+	finding.Crashes = max(finding.Crashes, learned.Crashes, len(finding.crashSites))
 	finding.Condemned = finding.Condemned || learned.Condemned
 	if learned.At >= finding.At {
 		finding.At, finding.Server, finding.Incarnation = learned.At, learned.Server, learned.Incarnation
 	}
 	t.order.MoveToBack(t.bodies[learned.Body])
-	t.awaitVerdict(now, learned)
+	t.awaitRemoteDecision(now, learned)
 	return newly
 }
 
-// CompareBodies orders bodies, so that decisions about several are the same on each replay.
+// CompareBodies defines an order on bodies, so that decisions about several bodies
+// are the same in each replay.
 func CompareBodies(a, b Body) int {
 	return cmp.Or(cmp.Compare(a.Account, b.Account), cmp.Compare(a.Pipeline, b.Pipeline), cmp.Compare(a.Hash, b.Hash))
 }
 
-// hold counts one more crash against a body, unless another VM told of the same.
-func (t *Table) hold(now time.Duration, server string, incarnation uint64, body Body) *Finding {
+// addCrash counts one more crash against a body, unless another VM has reported the
+// same crash.
+func (t *Table) addCrash(now time.Duration, server string, incarnation uint64, body Body) *Finding {
 	finding := t.find(now, body)
 	if finding == nil {
 		finding = t.add(body)
 	}
-	if finding.crashedAt(placeOf(server, incarnation)) {
+	if finding.addCrashSite(crashSiteOf(server, incarnation)) {
 		finding.Crashes++
 	}
 	finding.At, finding.Server, finding.Incarnation = now, server, incarnation
@@ -220,7 +225,7 @@
 	}
 	finding := element.Value.(*Finding)
 	if t.expired(now, finding) {
-		t.drop(element)
+		t.remove(element)
 		return nil
 	}
 	return finding
@@ -233,19 +238,19 @@
 	return now-finding.At >= t.options.SuspectTime
 }
 
-// add makes room by forgetting the oldest finding that condemns nobody, and
-// only then the oldest of all: otherwise a rack's loss, which makes suspects of
-// thousands, would let a condemned body run again.
+// add inserts a finding. A full table evicts the oldest finding that isn't blocked,
+// and only if all are blocked the oldest of them. Otherwise the loss of a rack,
+// which makes thousands of bodies suspects, would let a blocked body run again.
 func (t *Table) add(body Body) *Finding {
 	if t.order.Len() >= t.options.Bodies {
-		t.drop(t.leastNeeded())
+		t.remove(t.evictionCandidate())
 	}
 	finding := &Finding{Body: body}
 	t.bodies[body] = t.order.PushBack(finding)
 	return finding
 }
 
-func (t *Table) leastNeeded() *list.Element {
+func (t *Table) evictionCandidate() *list.Element {
 	for element := t.order.Front(); element != nil; element = element.Next() {
 		if !element.Value.(*Finding).Condemned {
 			return element
@@ -254,8 +259,8 @@
 	return t.order.Front()
 }
 
-func (t *Table) drop(element *list.Element) {
+func (t *Table) remove(element *list.Element) {
 	delete(t.bodies, element.Value.(*Finding).Body)
-	delete(t.verdicts, element.Value.(*Finding).Body)
+	delete(t.pendingBlocks, element.Value.(*Finding).Body)
 	t.order.Remove(element)
 }
