--- a/internal/core/claim/bench_test.go
+++ b/internal/core/claim/bench_test.go
@@ -12,17 +12,17 @@
 	"oleandershunt.example/oleandershunt/internal/testutil"
 )
 
-// soleOwner is a shard that owns itself; its platform answers at once.
-type soleOwner struct {
+// singleVMShard is a shard with a single VM, whose platform answers at once.
+type singleVMShard struct {
 	shard   *claim.Shard
 	now     time.Duration
 	version uint64
 	granted int
 }
 
-func newSoleOwner() *soleOwner {
+func newSingleVMShard() *singleVMShard {
 	self := lease.VM{Name: "a", DataCentre: "bornova", Incarnation: "a-1"}
-	s := &soleOwner{shard: claim.New(claim.Options{
+	s := &singleVMShard{shard: claim.New(claim.Options{
 		Shard: "bornova.0", Home: "bornova", Self: self, Interval: 50 * time.Millisecond, Lease: 4 * time.Second,
 		Retention: time.Hour, ClaimTimeout: time.Second, Poll: 500 * time.Millisecond,
 		PageOps: 4000, MaxOps: 15_000, MaxKeys: 10_000_000,
@@ -31,7 +31,7 @@
 	return s
 }
 
-func (s *soleOwner) step(event claim.Event) {
+func (s *singleVMShard) step(event claim.Event) {
 	queue := []claim.Event{event}
 	for len(queue) > 0 {
 		event, queue = queue[0], queue[1:]
@@ -51,7 +51,7 @@
 	}
 }
 
-func (s *soleOwner) claimAndSettle(i int) {
+func (s *singleVMShard) claimAndSettle(i int) {
 	key := core.ClaimKey{Account: "growers", Key: fmt.Sprintf("5f3c9a52-0000-4000-8000-%012d", i)}
 	op := claim.Op{Kind: claim.OpClaim, Key: claim.HashKey(key), Body: 7, Request: uint64(i), Origin: 1}
 	s.step(claim.Requested{Call: uint64(i), Op: op})
@@ -63,11 +63,11 @@
 	}
 }
 
-// BenchmarkOwner is the processor time of one claim and its settlement, in
-// batches of 100, and the memory that a remembered key takes. Run it with
-// -benchtime 100000x and 200000x: the slope is per key.
+// BenchmarkOwner measures the CPU time of one claim and its settlement, in batches
+// of 100, and the memory per remembered key. Run it with -benchtime 100000x and
+// 200000x: the slope between the two is the memory per key.
 func BenchmarkOwner(b *testing.B) {
-	s := newSoleOwner()
+	s := newSingleVMShard()
 	before := testutil.Heap()
 	b.ResetTimer()
 	for i := range b.N {
--- a/internal/core/claim/commit.go
+++ b/internal/core/claim/commit.go
@@ -7,13 +7,13 @@
 	"oleandershunt.example/oleandershunt/internal/core/lease"
 )
 
-// advanceOwner does what has become due for the owner.
+// advanceOwner runs the owner's tasks that are due at now.
 func (s *Shard) advanceOwner(now Time) {
 	o := s.owner
 	if !o.loaded && !o.loading && now >= o.nextLoad {
-		s.load(now)
+		s.loadPages(now)
 	}
-	o.parked = slices.DeleteFunc(o.parked, func(call parked) bool {
+	o.queued = slices.DeleteFunc(o.queued, func(call queuedClaim) bool {
 		if now < call.expires {
 			return false
 		}
@@ -22,19 +22,20 @@
 	})
 	if o.loaded {
 		s.expirePages(now)
-		s.seal(now)
+		s.sealPage(now)
 		s.rebalance(now)
 	}
-	s.answerWaiting(now)
+	s.resolveWaiters(now)
 	s.expirePeeks(now)
-	s.askStandbys(now)
+	s.replicateToStandbys(now)
 	s.writeHead(now)
 }
 
-// writeHead journals what is pending, renews, or hands over.
+// writeHead writes the head if ops are pending, the lease is due for renewal, a
+// peek needs proof of ownership, or the shard is being released.
 func (s *Shard) writeHead(now Time) {
 	o := s.owner
-	if o.flight != nil || o.unsure || now < o.nextWrite {
+	if o.inFlight != nil || o.outcomeUnknown || now < o.nextWrite {
 		return
 	}
 	pending := o.end() > o.confirmed
@@ -42,30 +43,30 @@
 	if !pending && !renew && !o.releasing && !o.peekNeedsWrite() {
 		return
 	}
-	s.number++
+	s.lastWriteNumber++
 	o.renewal++
 	head := s.nextHead(now)
-	o.flight = &flight{number: s.number, sent: now, head: head, garbage: o.garbage}
-	o.mayBeInForce(head, now)
-	o.garbage = nil
+	o.inFlight = &headWrite{number: s.lastWriteNumber, sent: now, head: head, obsoletePages: o.obsoletePages}
+	o.addPossibleHead(head, now)
+	o.obsoletePages = nil
 	o.lastWrite = now
 	o.nextWrite = now + s.options.Interval
-	s.do(WriteHead{Number: s.number, IfVersion: s.version, Head: head})
+	s.emit(WriteHead{Number: s.lastWriteNumber, IfVersion: s.version, Head: head})
 }
 
-// mayBeInForce notes a head whose write is about to be sent.
-func (o *owner) mayBeInForce(head Head, sent Time) {
-	last := &o.possible[len(o.possible)-1]
-	if len(o.possible) > 1 && last.released == head.Released && slices.Equal(last.standbys, head.Standbys) {
-		last.last = head.Renewal
+// addPossibleHead records a head whose write is about to be sent.
+func (o *owner) addPossibleHead(head Head, sent Time) {
+	last := &o.possibleHeads[len(o.possibleHeads)-1]
+	if len(o.possibleHeads) > 1 && last.released == head.Released && slices.Equal(last.standbys, head.Standbys) {
+		last.lastRenewal = head.Renewal
 		return
 	}
-	o.possible = append(o.possible, attempt{
-		first:    head.Renewal,
-		last:     head.Renewal,
-		sent:     sent,
-		standbys: head.Standbys,
-		released: head.Released,
+	o.possibleHeads = append(o.possibleHeads, possibleHead{
+		firstRenewal: head.Renewal,
+		lastRenewal:  head.Renewal,
+		sent:         sent,
+		standbys:     head.Standbys,
+		released:     head.Released,
 	})
 }
 
@@ -95,96 +96,97 @@
 	return head
 }
 
-func (s *Shard) ownHeadWritten(now Time, e HeadWritten) {
+func (s *Shard) handleOwnHeadWritten(now Time, e HeadWritten) {
 	o := s.owner
-	f := o.flight
-	o.flight = nil
+	f := o.inFlight
+	o.inFlight = nil
 	switch e.Result {
 	case ResultDone:
-		for _, name := range f.garbage {
-			s.do(DeletePage{Name: name})
+		for _, name := range f.obsoletePages {
+			s.emit(DeletePage{Name: name})
 		}
-		s.confirm(now, e.Version, f.head, f.sent)
+		s.confirmHead(now, e.Version, f.head, f.sent)
 		return
 	case ResultRefused:
 	default:
-		o.unsure = true
+		o.outcomeUnknown = true
 		s.nextRead = now
 	}
-	o.garbage = append(f.garbage, o.garbage...)
-	o.nextWrite = now + retryWrite
-	s.trouble()
+	o.obsoletePages = append(f.obsoletePages, o.obsoletePages...)
+	o.nextWrite = now + writeRetryDelay
+	s.markDegraded()
 }
 
-// ownHeadSeen learns from a read what came of writes without an answer.
-func (s *Shard) ownHeadSeen(now Time, e HeadRead) {
+// handleOwnHeadRead determines from a read the outcome of unanswered writes.
+func (s *Shard) handleOwnHeadRead(now Time, e HeadRead) {
 	o := s.owner
-	if !o.unsure {
+	if !o.outcomeUnknown {
 		return
 	}
-	o.unsure = false
+	o.outcomeUnknown = false
 	if e.Version == s.version {
-		// None has landed yet; one still may. The next write has the same
-		// condition, so at most one of them does.
+		// None of the writes has taken effect yet, but one still may. The next
+		// write has the same condition, so at most one of them succeeds.
 		return
 	}
 	sent := o.lastConfirmed
-	for _, a := range o.possible {
-		if a.first <= e.Head.Renewal && e.Head.Renewal <= a.last {
+	for _, a := range o.possibleHeads {
+		if a.firstRenewal <= e.Head.Renewal && e.Head.Renewal <= a.lastRenewal {
 			sent = a.sent
 		}
 	}
-	s.confirm(now, e.Version, e.Head, sent)
+	s.confirmHead(now, e.Version, e.Head, sent)
 }
 
-// confirm notes that a head is in force. sent is not after the time at which it
-// came in force: the owner's right to go on without the platform runs from there.
-func (s *Shard) confirm(now Time, version uint64, head Head, sent Time) {
+// confirmHead records that a head is in force. sent must not be later than the
+// time at which the head took effect, since the period in which the owner may
+// commit without the platform is counted from it.
+func (s *Shard) confirmHead(now Time, version uint64, head Head, sent Time) {
 	o := s.owner
-	s.see(version, head)
+	s.setHead(version, head)
 	o.confirmed = max(o.confirmed, head.End())
 	o.lastConfirmed = sent
-	o.possible = []attempt{{first: head.Renewal, last: head.Renewal, sent: sent, standbys: head.Standbys, released: head.Released}}
-	if o.troubled {
-		o.troubled = false
-		s.notice(NoticeJournalled)
+	o.possibleHeads = []possibleHead{{firstRenewal: head.Renewal, lastRenewal: head.Renewal, sent: sent, standbys: head.Standbys, released: head.Released}}
+	if o.degraded {
+		o.degraded = false
+		s.emitNotice(NoticeJournalled)
 	}
-	s.answerPeeks(now, head.Renewal)
+	s.resolvePeeks(now, head.Renewal)
 	if head.Released {
-		s.handedOver(now)
+		s.completeRelease(now)
 		return
 	}
-	s.answerWaiting(now)
+	s.resolveWaiters(now)
 }
 
-func (s *Shard) handedOver(now Time) {
-	s.answerWaiting(now)
-	for _, w := range s.owner.waiting {
+func (s *Shard) completeRelease(now Time) {
+	s.resolveWaiters(now)
+	for _, w := range s.owner.waiters {
 		s.decide(w.call, core.VerdictUndecided)
 	}
 	s.dropPeeks()
 	s.owner = nil
 	s.nextRead = now + s.options.Poll
-	s.notice(NoticeReleased)
+	s.emitNotice(NoticeReleased)
 }
 
-func (s *Shard) trouble() {
-	if s.owner.troubled {
+func (s *Shard) markDegraded() {
+	if s.owner.degraded {
 		return
 	}
-	s.owner.troubled = true
-	s.notice(NoticeOnStandbys)
+	s.owner.degraded = true
+	s.emitNotice(NoticeOnStandbys)
 }
 
-// askStandbys sends the pending ops to the standbys while the platform is in
-// trouble or slow.
-func (s *Shard) askStandbys(now Time) {
+// replicateToStandbys sends the pending ops to the standbys while writes to the
+// platform fail or are slow.
+func (s *Shard) replicateToStandbys(now Time) {
 	o := s.owner
-	slow := o.flight != nil && now >= o.flight.sent+s.options.SlowAfter
-	if !o.troubled && !slow || o.end() == o.confirmed || !s.mayUseStandbys(now) {
+	slow := o.inFlight != nil && now >= o.inFlight.sent+s.options.SlowAfter
+	if !o.degraded && !slow || o.end() == o.confirmed || !s.canCommitOnStandbys(now) {
 		return
 	}
-	for _, head := range o.possible {
+	for _, head := range o.possibleHeads {
 		for _, vm := range head.standbys {
 			s.sendAppend(now, vm)
 		}
@@ -193,18 +195,18 @@
 
 func (s *Shard) sendAppend(now Time, vm lease.VM) {
 	o := s.owner
-	known, ok := o.standbys[vm]
+	state, ok := o.standbys[vm]
 	if !ok {
-		known = &standby{}
-		o.standbys[vm] = known
+		state = &standby{}
+		o.standbys[vm] = state
 	}
-	if known.acked >= o.end() || known.waiting && now < known.sent+retryAppend {
+	if state.ackedEnd >= o.end() || state.awaitingReply && now < state.sent+appendRetryInterval {
 		return
 	}
-	known.waiting = true
-	known.sent = now
-	from := max(known.acked, o.confirmed)
-	s.do(SendAppend{Append{
+	state.awaitingReply = true
+	state.sent = now
+	from := max(state.ackedEnd, o.confirmed)
+	s.emit(SendAppend{Append{
 		Epoch:     o.epoch,
 		Owner:     s.options.Self,
 		To:        vm,
@@ -214,52 +216,52 @@
 	}})
 }
 
-func (s *Shard) appended(now Time, e Appended) {
+func (s *Shard) handleAppended(now Time, e Appended) {
 	o := s.owner
 	if o == nil || e.Epoch != o.epoch {
 		return
 	}
-	known, ok := o.standbys[e.Standby]
+	state, ok := o.standbys[e.Standby]
 	if !ok {
 		return
 	}
-	known.waiting = false
+	state.awaitingReply = false
 	if e.Refused {
-		// The standby may be taking over. Nothing that it accepted before is
-		// lost, but it has to be asked again for what comes now.
-		known.waiting = true
-		known.sent = now
+		// The standby may be taking over. It keeps the ops that it has already
+		// accepted, but the new ones have to be sent again.
+		state.awaitingReply = true
+		state.sent = now
 		return
 	}
-	// Answers may overtake each other; a standby never holds less than it said.
-	known.acked = max(known.acked, min(e.End, o.end()))
-	s.answerWaiting(now)
+	// Replies may arrive out of order; a standby never holds less than it has acknowledged.
+	state.ackedEnd = max(state.ackedEnd, min(e.End, o.end()))
+	s.resolveWaiters(now)
 }
 
-// seal moves the confirmed part of the journal into a page of its own, once it
-// is long or old, so that a write of the head stays small.
-func (s *Shard) seal(now Time) {
+// sealPage moves the confirmed part of the journal into a separate page once it
+// is long or old enough, so that the head stays small.
+func (s *Shard) sealPage(now Time) {
 	o := s.owner
 	count := o.confirmed - o.start
-	if o.sealing || count == 0 || o.troubled {
+	if o.sealing || count == 0 || o.degraded {
 		return
 	}
-	if count < uint64(s.options.PageOps) && !s.sealDue(now) {
+	if count < uint64(s.options.PageOps) && !s.isSealDue(now) {
 		return
 	}
 	o.sealing = true
 	o.lastSeal = now
 	ref := PageRef{Name: pageName(s.options.Shard, o.epoch, o.start, o.confirmed), Start: o.start, End: o.confirmed}
-	s.do(WritePage{Ref: ref, Page: Page{Ops: slices.Clone(o.ops[:count])}})
+	s.emit(WritePage{Ref: ref, Page: Page{Ops: slices.Clone(o.ops[:count])}})
 }
 
-// sealDue tells whether the newest page is so old that the next one should
-// begin: an idle shard would otherwise never forget its last keys.
-func (s *Shard) sealDue(now Time) bool {
+// isSealDue reports whether the last seal is old enough for the next one.
+// Without this, an idle shard would never expire its last keys.
+func (s *Shard) isSealDue(now Time) bool {
 	return now >= s.owner.lastSeal+s.options.Retention/sealsPerRetention
 }
 
-func (s *Shard) pageWritten(e PageWritten) {
+func (s *Shard) handlePageWritten(e PageWritten) {
 	o := s.owner
 	if o == nil || !o.sealing {
 		return
@@ -268,36 +270,36 @@
 	if e.Ref.Start != o.start || e.Result == ResultUnknown || e.Result == ResultRefused {
 		return
 	}
-	// A conflict means that an earlier try took effect: the name holds epoch
-	// and range, and only this owner writes them.
+	// A conflict means that an earlier attempt succeeded: the name contains the
+	// epoch and the range, so only this owner writes a page of this name.
 	o.ops = slices.Clone(o.ops[e.Ref.End-o.start:])
 	o.start = e.Ref.End
 	o.pages = append(o.pages, page{ref: e.Ref, sealed: o.lastWrite})
 }
 
-// expirePages forgets the keys of pages that are past retention.
+// expirePages drops the pages that are past retention, and their keys.
 func (s *Shard) expirePages(now Time) {
 	o := s.owner
 	for len(o.pages) > 0 && now >= o.pages[0].sealed+s.options.Retention {
-		o.garbage = append(o.garbage, o.pages[0].ref.Name)
+		o.obsoletePages = append(o.obsoletePages, o.pages[0].ref.Name)
 		o.table.expire(o.pages[0].ref.End)
 		o.pages = o.pages[1:]
 	}
 }
 
-// rebalance hands the shard over when another VM has come first in its rank for
-// some time, so that roles spread again after a restart of many VMs.
+// rebalance hands over the shard when another VM has ranked first for
+// rebalanceDelay, so that ownership spreads again after a restart of many VMs.
 func (s *Shard) rebalance(now Time) {
 	o := s.owner
-	if s.position == 0 || len(s.live) == 0 || o.troubled {
-		o.rankedBehind = 0
+	if s.rank == 0 || len(s.live) == 0 || o.degraded {
+		o.outrankedSince = 0
 		return
 	}
-	if o.rankedBehind == 0 {
-		o.rankedBehind = now
+	if o.outrankedSince == 0 {
+		o.outrankedSince = now
 		return
 	}
-	if now >= o.rankedBehind+rebalanceAfter {
+	if now >= o.outrankedSince+rebalanceDelay {
 		o.releasing = true
 	}
 }
--- a/internal/core/claim/messages.go
+++ b/internal/core/claim/messages.go
@@ -7,28 +7,28 @@
 	"oleandershunt.example/oleandershunt/internal/core/lease"
 )
 
-// Event is something that happened outside a shard.
+// Event is an input of a Shard's state machine.
 type Event interface{ isEvent() }
 
-// Action is something that a shard asks its VM to do.
+// Action is an output of a Shard's state machine, to be carried out by its VM.
 type Action interface{ isAction() }
 
-// Result is what is known of a write.
+// Result is the outcome of a write.
 type Result string
 
 // The results of a write.
 const (
-	// ResultDone: the write is in force.
+	// ResultDone: the write took effect.
 	ResultDone Result = "done"
-	// ResultConflict: the object was changed by another write.
+	// ResultConflict: another write changed the object first.
 	ResultConflict Result = "conflict"
-	// ResultUnknown: the write may or may not have taken effect, or may yet.
+	// ResultUnknown: the write may have taken effect, or may still do so.
 	ResultUnknown Result = "unknown"
 	// ResultRefused: the write did not take effect and never will.
 	ResultRefused Result = "refused"
 )
 
-// Requested asks for the one permission to dispatch a key's request. Decided answers it.
+// Requested asks for the only permission to dispatch a key's request. Decided answers it.
 type Requested struct {
 	// Call is the caller's number for the answer.
 	Call uint64
@@ -36,8 +36,8 @@
 	Op Op
 }
 
-// Peek asks whether a key is known, without claiming it. Decided answers it,
-// with anything but core.VerdictGranted.
+// Peek asks whether a key is known, without claiming it. Decided answers it, with
+// any verdict except core.VerdictGranted.
 type Peek struct {
 	// Call is the caller's number for the answer.
 	Call uint64
@@ -45,17 +45,17 @@
 	Op Op
 }
 
-// Settled says how a claimed request ended. Op is anything but a claim.
+// Settled reports how a claimed request ended. Op is of any kind except OpClaim.
 type Settled struct{ Op Op }
 
-// Tick says that time has passed.
+// Tick reports only that time has passed.
 type Tick struct{}
 
 // HeadRead is the answer to ReadHead.
 type HeadRead struct {
 	// Sent is when the read was sent.
 	Sent Time
-	// Failed says that the platform did not answer.
+	// Failed is set when the platform did not answer.
 	Failed bool
 	// Version is the object's version. 0 means that there is no object.
 	Version uint64
@@ -64,7 +64,7 @@
 
 // HeadWritten is the answer to WriteHead.
 type HeadWritten struct {
-	// Number is the write's.
+	// Number is the Number of the WriteHead.
 	Number uint64
 	Result Result
 	// Version is the object's version when the result is ResultDone.
@@ -73,7 +73,7 @@
 
 // PagesRead is the answer to ReadPages.
 type PagesRead struct {
-	// Failed says that not every page could be read.
+	// Failed is set when at least one page could not be read.
 	Failed bool
 	Pages  map[string]Page
 }
@@ -88,42 +88,42 @@
 type Appended struct {
 	Standby lease.VM
 	Epoch   uint64
-	// Refused says that the standby will not hold the ops.
+	// Refused is set when the standby did not accept the ops.
 	Refused bool
-	// End is the number after the last op that the standby holds without a gap.
+	// End is the index after the last op that the standby holds without a gap.
 	End uint64
 }
 
-// Append is an owner's request to a standby: hold these ops, and carry them on
-// should you take over. AppendReply answers it.
+// Append is an owner's request to a standby to hold ops and to include them in
+// the journal if it takes over. AppendReply answers it.
 type Append struct {
 	Call  uint64
 	Epoch uint64
 	Owner lease.VM
-	// To is the process that the owner means.
+	// To is the process that the owner addresses; a restarted one must refuse.
 	To lease.VM
-	// Confirmed is the number of ops known to be in the platform.
+	// Confirmed is the index after the last op known to be stored in the platform.
 	Confirmed uint64
-	// From is the number of the first of Ops.
+	// From is the index of the first op of Ops.
 	From uint64
 	Ops  Journal
 }
 
-// Live lists the VMs that are there and not leaving, this one included.
+// Live lists the VMs that are alive and not shutting down, this one included.
 type Live struct{ VMs []lease.VM }
 
-// Release asks the shard to be handed over at once, since the VM is stopping.
+// Release asks the owner to give up the shard at once, because its VM is shutting down.
 type Release struct{}
 
 // Decided answers Requested and Peek.
 type Decided struct {
 	Call    uint64
 	Verdict core.Verdict
-	// ValidFor is how long after the call was made a grant may be used.
+	// ValidFor is how long a grant may be used, counted from the time of the call.
 	ValidFor time.Duration
 }
 
-// ReadHead asks for the shard's head.
+// ReadHead asks for a read of the shard's head.
 type ReadHead struct{}
 
 // WriteHead asks for a conditional write of the shard's head.
@@ -134,19 +134,19 @@
 	Head      Head
 }
 
-// ReadPages asks for sealed pages.
+// ReadPages asks for a read of sealed pages.
 type ReadPages struct{ Names []string }
 
-// WritePage asks for a page to be created.
+// WritePage asks for the creation of a page.
 type WritePage struct {
 	Ref  PageRef
 	Page Page
 }
 
-// DeletePage asks for a page that is no longer needed to be deleted.
+// DeletePage asks for the deletion of a page that is past its retention.
 type DeletePage struct{ Name string }
 
-// SendAppend asks for ops to be sent to a standby.
+// SendAppend asks for an Append to be sent to a standby.
 type SendAppend struct{ Append Append }
 
 // AppendReply answers Append.
@@ -156,11 +156,11 @@
 	End     uint64
 }
 
-// Notice says that something happened which operators want to know of.
+// Notice is a state change that is reported to operators.
 type Notice struct {
 	Kind  NoticeKind
 	Epoch uint64
-	// Holder is the VM that owns the shard, as far as known.
+	// Holder is the name of the shard's owner as far as this VM knows.
 	Holder string
 }
 
--- a/internal/core/claim/op.go
+++ b/internal/core/claim/op.go
@@ -1,7 +1,8 @@
-// Package claim decides the keys of non-idempotent requests, so that each key's
-// request is dispatched at most once by all VMs together. Keys are spread over
-// shards; a Shard is one VM's part in one shard, as owner or as standby. It does
-// no I/O, reads no clock and starts no goroutine.
+// Package claim decides which requests may use the idempotency keys of
+// non-idempotent requests, so that each key's request is dispatched at most once
+// across all VMs. Keys are partitioned into shards; a Shard is one VM's state
+// machine for one shard, as owner or as standby. It does no I/O, reads no clock
+// and starts no goroutine.
 package claim
 
 import (
@@ -15,15 +16,15 @@
 	"oleandershunt.example/oleandershunt/internal/core"
 )
 
-// KeyHash stands for a client account's key: 128 bits, so that two keys which
-// share one are not to be expected; if they did, the second would be refused.
+// KeyHash is the 128-bit hash of a client account's key. Collisions are not
+// expected at this size; if one occurred, the second key would be refused.
 type KeyHash [2]uint64
 
-// secondSeed makes the second half of a KeyHash independent of the first.
+// secondSeed is the xxhash seed of the second 64 bits of a KeyHash, so that they are independent of the first.
 const secondSeed = 0x9e3779b97f4a7c15
 
-// HashKey is the hash of a key. The account is part of it, so no account can
-// learn of another's key.
+// HashKey returns the hash of a key. The account is part of the hash, so no
+// account can detect another account's key.
 func HashKey(key core.ClaimKey) KeyHash {
 	text := key.Account + "\x00" + key.Key
 	second := xxhash.NewWithSeed(secondSeed)
@@ -31,30 +32,30 @@
 	return KeyHash{xxhash.Sum64String(text), second.Sum64()}
 }
 
-// HashOrigin stands for a VM's incarnation in an Op.
+// HashOrigin returns the hash that identifies a VM's incarnation in an Op.
 func HashOrigin(incarnation string) uint32 { return uint32(xxhash.Sum64String(incarnation)) }
 
-// HashRequest stands for one request of one incarnation of a VM.
+// HashRequest returns the hash that identifies one request of one incarnation of a VM.
 func HashRequest(incarnation, request string) uint64 {
 	return xxhash.Sum64String(incarnation + "\x00" + request)
 }
 
-// OpKind says what an Op does to its key.
+// OpKind is what an Op does to its key.
 type OpKind uint8
 
 // The kinds of Op.
 const (
 	// OpClaim claims a key for a request.
 	OpClaim OpKind = iota + 1
-	// OpRan says that the request ran.
+	// OpRan records that the request ran.
 	OpRan
-	// OpMayHaveRun says that the request ended and nothing proves what came of it.
+	// OpMayHaveRun records that the request ended without proof of whether it ran.
 	OpMayHaveRun
-	// OpFree says that the request provably did not run: the key is free again.
+	// OpFree records that the request provably did not run and releases the key.
 	OpFree
 )
 
-// Op is one step of a shard's journal.
+// Op is one entry of a shard's journal.
 type Op struct {
 	Kind    OpKind
 	Key     KeyHash
@@ -63,16 +64,16 @@
 	Origin  uint32
 }
 
-// opBytes is the size of an encoded Op.
+// opBytes is the size of an encoded Op in bytes.
 const opBytes = 1 + 16 + 8 + 8 + 4
 
-// ErrOps marks a journal that can't be read.
-var ErrOps = eris.New("claim journal is damaged: restore the object or delete it once its retention is over")
+// ErrJournalDamaged is returned for a journal that can't be decoded.
+var ErrJournalDamaged = eris.New("claim journal is damaged: restore the object or delete it once its retention is over")
 
-// Journal is a run of ops. In JSON it is one base64 string.
+// Journal is a sequence of ops. In JSON it is one base64 string.
 type Journal []Op
 
-// MarshalText encodes the ops, 37 bytes each, in base64.
+// MarshalText encodes the ops in base64, 37 bytes each before the encoding.
 func (j Journal) MarshalText() ([]byte, error) {
 	raw := make([]byte, 0, len(j)*opBytes)
 	for _, op := range j {
@@ -86,11 +87,11 @@
 	return base64.StdEncoding.AppendEncode(nil, raw), nil
 }
 
-// UnmarshalText decodes what MarshalText made. The error wraps ErrOps.
+// UnmarshalText decodes the output of MarshalText. Its errors wrap ErrJournalDamaged.
 func (j *Journal) UnmarshalText(text []byte) error {
 	raw, err := base64.StdEncoding.AppendDecode(nil, text)
 	if err != nil || len(raw)%opBytes != 0 {
-		return eris.Wrapf(ErrOps, "%d bytes", len(text))
+		return eris.Wrapf(ErrJournalDamaged, "%d bytes", len(text))
 	}
 	ops := make(Journal, 0, len(raw)/opBytes)
 	for ; len(raw) > 0; raw = raw[opBytes:] {
@@ -102,7 +103,7 @@
 			Origin:  binary.LittleEndian.Uint32(raw[33:]),
 		}
 		if op.Kind < OpClaim || op.Kind > OpFree {
-			return eris.Wrapf(ErrOps, "op kind %d", op.Kind)
+			return eris.Wrapf(ErrJournalDamaged, "op kind %d", op.Kind)
 		}
 		ops = append(ops, op)
 	}
@@ -110,5 +111,5 @@
 	return nil
 }
 
-// Time is a point on the VM's monotonic clock.
+// Time is a reading of the VM's monotonic clock.
 type Time = time.Duration
--- a/internal/core/claim/owner.go
+++ b/internal/core/claim/owner.go
@@ -8,52 +8,54 @@
 	"oleandershunt.example/oleandershunt/internal/core/lease"
 )
 
-// owner is what the shard's owner knows.
+// owner is the state that only the shard's owner has.
 type owner struct {
 	epoch uint64
 	table table
-	// loaded says that the whole journal has been read. Claims wait for it.
+	// loaded is set once the whole journal has been read. Claims are queued until then.
 	loaded   bool
 	loading  bool
 	nextLoad Time
-	parked   []parked
+	queued   []queuedClaim
 
-	// ops is the part of the journal that isn't sealed; start is the number of its first op.
+	// ops is the unsealed part of the journal; start is the index of its first op.
 	ops   Journal
 	start uint64
-	// confirmed is the number of ops that the platform is known to hold.
-	confirmed uint64
-	pages     []page
-	lastSeal  Time
-	sealing   bool
-	garbage   []string
+	// confirmed is the index after the last op that the platform is known to store.
+	confirmed     uint64
+	pages         []page
+	lastSeal      Time
+	sealing       bool
+	obsoletePages []string
 
-	// possible are the heads that may be in force: the last one confirmed and
-	// those whose write has no answer yet.
-	possible      []attempt
+	// possibleHeads are the heads that may be in force: the last confirmed one and
+	// those whose writes are unanswered.
+	possibleHeads []possibleHead
 	lastConfirmed Time
 	lastWrite     Time
 	nextWrite     Time
 	renewal       uint64
-	flight        *flight
-	// unsure says that the head must be read before the next write.
-	unsure bool
-	// troubled says that the last write did not end well.
-	troubled bool
+	inFlight      *headWrite
+	// outcomeUnknown is set after an unanswered or conflicting write: the head must
+	// be read before the next write.
+	outcomeUnknown bool
+	// degraded is set while the last write of the head has failed.
+	degraded bool
 
 	standbys map[lease.VM]*standby
-	// waiting is in order of expiry. answered is what was committed when it was
-	// last gone through, and known says that a call waits for what is committed.
-	waiting  []waiter
-	answered uint64
-	known    bool
-	gapUntil Time
-	// peeks wait for a write of the head, in order of arrival.
+	// waiters are in order of expiry. resolvedThrough is the committed index for
+	// which they were last checked, and hasCommittedWaiter is set if a waiter
+	// added since then needs no more than that.
+	waiters            []waiter
+	resolvedThrough    uint64
+	hasCommittedWaiter bool
+	gapUntil           Time
+	// peeks are the calls that wait for a write of the head, in order of arrival.
 	peeks []peekWaiter
-	// releasing says that the shard is being handed over: nothing more is decided.
+	// releasing is set while the shard is being handed over: no more claims are decided.
 	releasing bool
-	// rankedBehind is since when another VM has come first in the rank. 0 means that none has.
-	rankedBehind Time
+	// outrankedSince is when another VM began to rank first. 0 means that this VM ranks first.
+	outrankedSince Time
 }
 
 // page is a sealed part of the journal.
@@ -62,57 +64,57 @@
 	sealed Time
 }
 
-// flight is a write of the head that has no answer yet.
-type flight struct {
-	number  uint64
-	sent    Time
-	head    Head
-	garbage []string
+// headWrite is a write of the head that has no answer yet.
+type headWrite struct {
+	number        uint64
+	sent          Time
+	head          Head
+	obsoletePages []string
 }
 
-// attempt is what matters of a head that may be in force.
-type attempt struct {
-	// first and last are the renewals of the writes that it stands for.
-	first, last uint64
-	// sent is when the first of them was sent.
+// possibleHead is the relevant part of one or more heads that may be in force.
+type possibleHead struct {
+	// firstRenewal and lastRenewal are the range of Head.Renewal that it stands for.
+	firstRenewal, lastRenewal uint64
+	// sent is when the first of their writes was sent.
 	sent     Time
 	standbys []lease.VM
 	released bool
 }
 
-// standby is what the owner knows of one of its standbys.
+// standby is the owner's replication state for one standby.
 type standby struct {
-	acked   uint64
-	sent    Time
-	waiting bool
+	ackedEnd      uint64
+	sent          Time
+	awaitingReply bool
 }
 
 // waiter is a call whose claim is not committed yet.
 type waiter struct {
-	call    uint64
-	op      Op
-	need    uint64
-	expires Time
+	call        uint64
+	op          Op
+	requiredEnd uint64
+	expires     Time
 }
 
-// parked is a call that came before the journal was read.
-type parked struct {
+// queuedClaim is a claim that arrived before the journal was read.
+type queuedClaim struct {
 	event   Requested
 	expires Time
 }
 
 const (
-	// renewalsPerLease is how often an idle owner renews in the time of a lease.
+	// renewalsPerLease is how often an idle owner renews its lease within one lease duration.
 	renewalsPerLease = 4
-	// retryWrite is the wait after a write that failed.
-	retryWrite = 200 * time.Millisecond
-	// retryAppend is the wait for a standby's answer.
-	retryAppend = 300 * time.Millisecond
-	// sealsPerRetention bounds the age that a page reaches before it is sealed.
+	// writeRetryDelay is the delay after a failed write of the head.
+	writeRetryDelay = 200 * time.Millisecond
+	// appendRetryInterval is how long the owner waits for a standby's reply before it sends again.
+	appendRetryInterval = 300 * time.Millisecond
+	// sealsPerRetention bounds the age of unsealed ops to this fraction of the retention.
 	sealsPerRetention = 8
-	// rebalanceAfter is how long another VM must come first in the rank before
-	// the shard is handed to it, so that a VM that comes and goes moves nothing.
-	rebalanceAfter = 15 * time.Second
+	// rebalanceDelay is how long another VM must rank first before the shard is
+	// handed to it, so that a flapping VM moves no shards.
+	rebalanceDelay = 15 * time.Second
 )
 
 func newOwner(now, sent Time, head Head, retention time.Duration) *owner {
@@ -122,7 +124,7 @@
 		ops:           slices.Clone(head.Ops),
 		start:         head.Start,
 		confirmed:     head.End(),
-		possible:      []attempt{{sent: sent, standbys: head.Standbys}},
+		possibleHeads: []possibleHead{{sent: sent, standbys: head.Standbys}},
 		lastConfirmed: sent,
 		lastWrite:     now,
 		lastSeal:      now,
@@ -137,14 +139,14 @@
 	return o
 }
 
-// end is the number after the last op.
+// end returns the index after the last op.
 func (o *owner) end() uint64 { return o.start + uint64(len(o.ops)) }
 
-// load asks for the sealed pages, or goes on without when there are none.
-func (s *Shard) load(now Time) {
+// loadPages asks for the sealed pages. If there are none, it applies the journal at once.
+func (s *Shard) loadPages(now Time) {
 	o := s.owner
 	if len(o.pages) == 0 {
-		s.loadedPages(now, nil)
+		s.applyJournal(now, nil)
 		return
 	}
 	names := make([]string, 0, len(o.pages))
@@ -152,10 +154,10 @@
 		names = append(names, p.ref.Name)
 	}
 	o.loading = true
-	s.do(ReadPages{Names: names})
+	s.emit(ReadPages{Names: names})
 }
 
-func (s *Shard) pagesRead(now Time, e PagesRead) {
+func (s *Shard) handlePagesRead(now Time, e PagesRead) {
 	o := s.owner
 	if o == nil || !o.loading {
 		return
@@ -168,16 +170,16 @@
 	for _, p := range o.pages {
 		read, ok := e.Pages[p.ref.Name]
 		if !ok || uint64(len(read.Ops)) != p.ref.End-p.ref.Start {
-			// Someone deleted or damaged the page. Its keys are not known, so
-			// no unknown key may be granted until they are past retention.
+			// The page was deleted or damaged, so its keys are lost. No unknown
+			// key may be granted until the retention of the lost keys has passed.
 			o.gapUntil = now + s.options.Retention
-			s.notice(NoticeGap)
+			s.emitNotice(NoticeGap)
 		}
 	}
-	s.loadedPages(now, e.Pages)
+	s.applyJournal(now, e.Pages)
 }
 
-func (s *Shard) loadedPages(now Time, pages map[string]Page) {
+func (s *Shard) applyJournal(now Time, pages map[string]Page) {
 	o := s.owner
 	for _, p := range o.pages {
 		for i, op := range pages[p.ref.Name].Ops {
@@ -188,66 +190,67 @@
 		o.table.apply(o.start+uint64(i), op)
 	}
 	o.loaded = true
-	calls := o.parked
-	o.parked = nil
+	calls := o.queued
+	o.queued = nil
 	for _, call := range calls {
-		s.requested(now, call.event)
+		s.handleClaim(now, call.event)
 	}
 }
 
-func (s *Shard) requested(now Time, e Requested) {
+func (s *Shard) handleClaim(now Time, e Requested) {
 	o := s.owner
 	switch {
 	case o == nil || o.releasing:
 		s.decide(e.Call, core.VerdictUndecided)
 		return
 	case !o.loaded:
-		o.parked = append(o.parked, parked{e, now + s.options.ClaimTimeout})
+		o.queued = append(o.queued, queuedClaim{e, now + s.options.ClaimTimeout})
 		return
 	}
 	if known, ok := o.table.entries[e.Op.Key]; ok {
-		s.repeated(now, e, known)
+		s.handleRepeatedClaim(now, e, known)
 		return
 	}
 	switch {
 	case now < o.gapUntil:
 		s.decide(e.Call, core.VerdictMayHaveRun)
-	case len(o.table.entries) >= s.options.MaxKeys || len(o.ops) >= s.options.MaxOps || s.stuck(now):
+	case len(o.table.entries) >= s.options.MaxKeys || len(o.ops) >= s.options.MaxOps || s.cannotCommit(now):
 		s.decide(e.Call, core.VerdictUndecided)
 	default:
-		s.journal(e.Op)
-		s.wait(now, e, o.end())
+		s.appendOp(e.Op)
+		s.addWaiter(now, e, o.end())
 	}
 }
 
-// repeated answers a claim for a key that is known.
-func (s *Shard) repeated(now Time, e Requested, known entry) {
+// handleRepeatedClaim answers a claim for a key that is in the table.
+func (s *Shard) handleRepeatedClaim(now Time, e Requested, known entry) {
 	verdict := known.verdict(e.Op, s.liveOrigins[known.origin])
 	switch verdict {
 	case core.VerdictGranted:
-		s.wait(now, e, known.index+1)
+		s.addWaiter(now, e, known.index+1)
 	case core.VerdictBodyDiffers:
-		// The caller is told that this body did not run. A successor that this
-		// VM doesn't know of may have freed the key and granted it for this body.
-		s.confirmLook(now, peekWaiter{call: e.Call, op: e.Op, claims: true})
+		// The verdict asserts that this body did not run. A successor that this VM
+		// doesn't know of yet may have freed the key and granted it for this body,
+		// so the verdict needs proof of ownership.
+		s.awaitOwnershipProof(now, peekWaiter{call: e.Call, op: e.Op, isClaim: true})
 	default:
 		s.decide(e.Call, verdict)
 	}
 }
 
-func (s *Shard) wait(now Time, e Requested, need uint64) {
-	w := waiter{call: e.Call, op: e.Op, need: need, expires: now + s.options.ClaimTimeout}
-	s.owner.waiting = append(s.owner.waiting, w)
-	s.owner.known = s.owner.known || need <= s.owner.answered
+func (s *Shard) addWaiter(now Time, e Requested, need uint64) {
+	w := waiter{call: e.Call, op: e.Op, requiredEnd: need, expires: now + s.options.ClaimTimeout}
+	s.owner.waiters = append(s.owner.waiters, w)
+	s.owner.hasCommittedWaiter = s.owner.hasCommittedWaiter || need <= s.owner.resolvedThrough
 }
 
-func (s *Shard) journal(op Op) {
+func (s *Shard) appendOp(op Op) {
 	o := s.owner
 	o.table.apply(o.end(), op)
 	o.ops = append(o.ops, op)
 }
 
-func (s *Shard) settled(e Settled) {
+func (s *Shard) handleSettled(e Settled) {
 	o := s.owner
 	if o == nil || !o.loaded || len(o.ops) >= s.options.MaxOps {
 		return
@@ -259,61 +262,61 @@
 	op := e.Op
 	op.Body = known.body
 	op.Origin = known.origin
-	s.journal(op)
+	s.appendOp(op)
 }
 
-// stuck tells whether a claim made now could not be committed in its time: the
-// platform does not answer and there is no standby's word to go on with.
-func (s *Shard) stuck(now Time) bool {
+// cannotCommit reports whether a new claim could not be committed in time: the
+// platform is unavailable, and committing on the standbys isn't possible.
+func (s *Shard) cannotCommit(now Time) bool {
 	o := s.owner
-	return o.troubled && now >= o.lastConfirmed+s.options.Lease && !s.mayUseStandbys(now)
+	return o.degraded && now >= o.lastConfirmed+s.options.Lease && !s.canCommitOnStandbys(now)
 }
 
-// mayUseStandbys tells whether the standbys' word can stand for the platform's:
-// every head that may be in force must name standbys, since under one that
-// names none any VM may take over, and the time for it must not be over.
-func (s *Shard) mayUseStandbys(now Time) bool {
+// canCommitOnStandbys reports whether acknowledgements of the standbys may replace
+// a write to the platform. Every head that may be in force must name standbys,
+// because any VM may take over from a head that names none, and OutageLimit must
+// not have passed.
+func (s *Shard) canCommitOnStandbys(now Time) bool {
 	o := s.owner
 	if now >= o.lastConfirmed+s.options.OutageLimit {
 		return false
 	}
-	return !slices.ContainsFunc(o.possible, func(a attempt) bool { return len(a.standbys) == 0 || a.released })
+	return !slices.ContainsFunc(o.possibleHeads, func(a possibleHead) bool { return len(a.standbys) == 0 || a.released })
 }
 
-// committed is the number of ops that a successor is sure to know: those in the
-// platform, or those which every VM that may take over has accepted.
+// committed returns the index after the last op that any successor is certain to
+// have: an op stored in the platform, or accepted by every VM that may take over.
 func (s *Shard) committed(now Time) uint64 {
 	o := s.owner
-	if !s.mayUseStandbys(now) {
+	if !s.canCommitOnStandbys(now) {
 		return o.confirmed
 	}
-	least := o.end()
-	for _, head := range o.possible {
+	minAcked := o.end()
+	for _, head := range o.possibleHeads {
 		for _, vm := range head.standbys {
-			known, ok := o.standbys[vm]
+			state, ok := o.standbys[vm]
 			if !ok {
 				return o.confirmed
 			}
-			least = min(least, known.acked)
+			minAcked = min(minAcked, state.ackedEnd)
 		}
 	}
-	return max(o.confirmed, least)
+	return max(o.confirmed, minAcked)
 }
 
-// answerWaiting grants what is committed and gives up what has waited too long.
-func (s *Shard) answerWaiting(now Time) {
+// resolveWaiters grants the claims that are committed and expires those that have timed out.
+func (s *Shard) resolveWaiters(now Time) {
 	o := s.owner
 	committed := s.committed(now)
-	if committed == o.answered && !o.known && (len(o.waiting) == 0 || now < o.waiting[0].expires) {
-		// Nothing to tell. Going through all that wait at each event would take
-		// time that grows with their square, and an owner that falls behind
-		// would never catch up.
+	if committed == o.resolvedThrough && !o.hasCommittedWaiter && (len(o.waiters) == 0 || now < o.waiters[0].expires) {
+		// No waiter can be resolved. Scanning all waiters at each event would
+		// take quadratic time, and an owner that falls behind would never catch up.
 		return
 	}
-	o.answered = committed
-	o.known = false
-	waiting := o.waiting
-	o.waiting = nil
+	o.resolvedThrough = committed
+	o.hasCommittedWaiter = false
+	waiting := o.waiters
+	o.waiters = nil
 	var expired []waiter
 	for _, w := range waiting {
 		known, ok := o.table.entries[w.op.Key]
@@ -322,49 +325,49 @@
 			s.decide(w.call, core.VerdictUndecided)
 		case known.kind != OpClaim:
 			s.decide(w.call, known.verdict(w.op, false))
-		case w.need <= committed:
+		case w.requiredEnd <= committed:
 			known.granted = true
 			o.table.entries[w.op.Key] = known
 			s.decide(w.call, core.VerdictGranted)
 		case now >= w.expires:
 			expired = append(expired, w)
 		default:
-			o.waiting = append(o.waiting, w)
+			o.waiters = append(o.waiters, w)
 		}
 	}
 	for _, w := range expired {
-		s.giveUp(w)
+		s.expireWaiter(w)
 	}
 }
 
-// giveUp answers a call whose claim was not committed in time, and frees its
-// key: the caller is told that nothing runs, so a later request must not meet
-// the remains of this one. The key stays claimed while another call of the same
-// request waits or has been granted.
-func (s *Shard) giveUp(w waiter) {
+// expireWaiter answers a call whose claim was not committed in time, and frees its
+// key: the caller is told that the request did not run, so this claim must not
+// block a later request. The key stays claimed while another call of the same
+// request is waiting or has been granted.
+func (s *Shard) expireWaiter(w waiter) {
 	o := s.owner
 	s.decide(w.call, core.VerdictUndecided)
 	known := o.table.entries[w.op.Key]
-	again := slices.ContainsFunc(o.waiting, func(other waiter) bool { return other.op.Request == w.op.Request })
-	if again || known.granted || known.kind != OpClaim || known.request != w.op.Request {
+	hasOtherCall := slices.ContainsFunc(o.waiters, func(other waiter) bool { return other.op.Request == w.op.Request })
+	if hasOtherCall || known.granted || known.kind != OpClaim || known.request != w.op.Request {
 		return
 	}
 	op := w.op
 	op.Kind = OpFree
-	s.journal(op)
+	s.appendOp(op)
 }
 
-// fenced gives the shard up because another VM owns it now. Calls that wait are
-// not granted; their claims stay in the journal if they reached it.
-func (s *Shard) fenced() {
+// stepDown gives up the shard because another VM owns it now. Waiting calls are
+// not granted; their claims remain in the journal if they were written to it.
+func (s *Shard) stepDown() {
 	o := s.owner
-	for _, w := range o.waiting {
+	for _, w := range o.waiters {
 		s.decide(w.call, core.VerdictUndecided)
 	}
-	for _, call := range o.parked {
+	for _, call := range o.queued {
 		s.decide(call.event.Call, core.VerdictUndecided)
 	}
 	s.dropPeeks()
 	s.owner = nil
-	s.notice(NoticeFenced)
+	s.emitNotice(NoticeFenced)
 }
--- a/internal/core/claim/script_test.go
+++ b/internal/core/claim/script_test.go
@@ -9,9 +9,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// The scripts under testdata are counterexamples that the property's search
-// found, shrunk, against an earlier state of the code or against one with a
-// safeguard taken out. Each opens with symptom, sequence and cause.
+// TestScripts runs the scripts under testdata. Each is a shrunk counterexample that
+// the property test found in an earlier version of the code, or with one safeguard
+// removed, and opens with the failure that it guards against.
 func TestScripts(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.script")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -21,19 +21,19 @@
 			g := NewWithT(t)
 			text, err := os.ReadFile(path)
 			g.Expect(err).NotTo(HaveOccurred())
-			w := newWorld("a", "b", "c")
+			w := newCluster("a", "b", "c")
 			outcomes := 0
 			for number, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
 				if strings.HasPrefix(line, "#") || line == "" {
 					continue
 				}
-				g.Expect(w.do(line)).To(Succeed(), "%s:%d: %s", path, number+1, line)
+				g.Expect(w.run(line)).To(Succeed(), "%s:%d: %s", path, number+1, line)
 				if strings.HasPrefix(line, "expect-") {
 					outcomes++
 				}
 			}
-			g.Expect(outcomes).To(BeNumerically(">", 0), "a script states an outcome")
-			g.Expect(w.broken()).To(BeFalse())
+			g.Expect(outcomes).To(BeNumerically(">", 0), "a script must check at least one outcome")
+			g.Expect(w.violated()).To(BeFalse())
 		})
 	}
 }
--- a/internal/core/claim/shard.go
+++ b/internal/core/claim/shard.go
@@ -9,118 +9,120 @@
 
 // Options are the settings of a shard.
 type Options struct {
-	// Shard is the shard's name, and Home the data centre whose VMs own it by preference.
+	// Shard is the shard's name, and Home the data centre whose VMs are preferred as owners.
 	Shard string
 	Home  string
 	// Self is this VM.
 	Self lease.VM
-	// Interval is the least time between two writes of the head: the group commit.
+	// Interval is the minimum time between two writes of the head (group commit).
 	Interval time.Duration
-	// Lease is how long an owner may be silent before it is replaced.
+	// Lease is how long an owner may go without a write before another VM takes over.
 	Lease time.Duration
-	// ClockError is added to every wait for another VM, for clocks that run at unlike rates.
+	// ClockError is added to every wait for another VM, to allow for clock drift.
 	ClockError time.Duration
-	// OutageLimit is how long an owner goes on with its standbys' word alone.
+	// OutageLimit is how long an owner may commit on its standbys alone while the platform is unavailable.
 	OutageLimit time.Duration
-	// Retention is how long a key is remembered at least.
+	// Retention is the minimum time for which a key is remembered.
 	Retention time.Duration
-	// ClaimTimeout is how long a claim waits for its commit.
+	// ClaimTimeout is how long a claim may wait for its commit.
 	ClaimTimeout time.Duration
-	// GrantValidity is how long a grant may be used after it was asked for.
+	// GrantValidity is how long a grant may be used, counted from the time of the call.
 	GrantValidity time.Duration
-	// SlowAfter is how long a write may take before the standbys are asked as well.
+	// SlowAfter is how long a write may take before its ops are also sent to the standbys.
 	SlowAfter time.Duration
-	// Poll is the time between two reads of the head by a VM that may take over.
+	// Poll is the interval at which a VM that may take over reads the head.
 	Poll time.Duration
-	// Standbys is the number of VMs to name.
+	// Standbys is the number of standbys to name in the head.
 	Standbys int
 	// StandbysElsewhere prefers standbys in other data centres to those in the owner's.
 	StandbysElsewhere bool
-	// PageOps is the number of ops at which the journal's newest part is sealed.
+	// PageOps is the number of ops at which the newest part of the journal is sealed.
 	PageOps int
-	// MaxOps bounds the ops that are not sealed, and so the claims of one outage.
+	// MaxOps bounds the unsealed ops, and thereby the claims during one outage.
 	MaxOps int
-	// MaxKeys bounds the keys remembered.
+	// MaxKeys bounds the number of remembered keys.
 	MaxKeys int
 }
 
-// PollingRanks is how many VMs of a shard's rank watch it. Others look only
-// when they have a claim to make, which keeps the platform's reads bounded.
+// PollingRanks is how many of the first VMs in a shard's ranking poll its head.
+// Other VMs read it only when they have a claim to make, which bounds the reads
+// of the platform.
 const PollingRanks = 3
 
-// idleAfter is how long a VM goes on watching a shard after its last claim there.
-const idleAfter = 30 * time.Second
+// demandTimeout is how long a VM keeps polling a shard's head after its last claim there.
+const demandTimeout = 30 * time.Second
 
-// Shard is one VM's part in one shard. It is not safe for concurrent use.
+// Shard is one VM's state machine for one shard. It is not safe for concurrent use.
 type Shard struct {
 	options Options
-	// out collects the actions of one step.
-	out []Action
+	// actions collects the actions of one step.
+	actions []Action
 
 	live        []lease.VM
 	liveOrigins map[uint32]bool
-	position    int
+	rank        int
 
-	// version and head are the newest that this VM knows of the platform's object.
-	version  uint64
-	head     Head
-	highest  uint64
-	observer lease.Observer
-	reading  bool
-	nextRead Time
-	wanted   Time
+	// version and head are the newest state of the platform's object that this VM has seen.
+	version      uint64
+	head         Head
+	highestEpoch uint64
+	observer     lease.Observer
+	reading      bool
+	nextRead     Time
+	lastDemand   Time
 
-	number   uint64
-	take     *takeover
-	tail     tail
-	owner    *owner
-	stopping bool
+	lastWriteNumber uint64
+	takeover        *takeover
+	tail            tail
+	owner           *owner
+	stopping        bool
 }
 
-// New makes a shard that knows nothing yet.
+// New returns a shard with no state: it has not read the head yet.
 func New(options Options) *Shard {
-	return &Shard{options: options, liveOrigins: make(map[uint32]bool), wanted: -idleAfter}
+	return &Shard{options: options, liveOrigins: make(map[uint32]bool), lastDemand: -demandTimeout}
 }
 
-// Step takes one event and returns what is to be done about it.
+// Step processes one event and returns the actions to carry out.
 func (s *Shard) Step(now Time, event Event) []Action {
-	s.out = nil
+	s.actions = nil
 	switch e := event.(type) {
 	case Requested:
-		s.requested(now, e)
+		s.handleClaim(now, e)
 	case Peek:
-		s.peek(now, e)
+		s.handlePeek(now, e)
 	case Settled:
-		s.settled(e)
+		s.handleSettled(e)
 	case HeadRead:
-		s.headRead(now, e)
+		s.handleHeadRead(now, e)
 	case HeadWritten:
-		s.headWritten(now, e)
+		s.handleHeadWritten(now, e)
 	case PagesRead:
-		s.pagesRead(now, e)
+		s.handlePagesRead(now, e)
 	case PageWritten:
-		s.pageWritten(e)
+		s.handlePageWritten(e)
 	case Appended:
-		s.appended(now, e)
+		s.handleAppended(now, e)
 	case Append:
-		s.append(e)
+		s.handleAppend(e)
 	case Live:
 		s.setLive(e.VMs)
 	case Release:
-		s.release()
+		s.startRelease()
 	case Tick:
 	}
 	s.advance(now)
-	return s.out
+	return s.actions
 }
 
-// Owns tells whether this VM decides the shard's keys, as far as it knows.
+// Owns reports whether this VM decides the shard's keys, as far as it knows.
 func (s *Shard) Owns() bool { return s.owner != nil && !s.owner.releasing }
 
-// Holds tells whether this VM owns the shard, be it only to hand it over.
+// Holds reports whether this VM owns the shard, even if it is only handing it over.
 func (s *Shard) Holds() bool { return s.owner != nil }
 
-// Owner is the VM that owns the shard as far as this one knows.
+// Owner returns the shard's owner as far as this VM knows. The second result is
+// false when no owner is known or the owner is releasing the shard.
 func (s *Shard) Owner() (lease.VM, bool) {
 	if s.owner != nil {
 		return s.options.Self, !s.owner.releasing
@@ -128,7 +130,7 @@
 	return s.head.Owner, s.version > 0 && !s.head.Released
 }
 
-// Keys is the number of keys remembered here.
+// Keys returns the number of keys that this VM remembers as owner.
 func (s *Shard) Keys() int {
 	if s.owner == nil {
 		return 0
@@ -136,163 +138,163 @@
 	return len(s.owner.table.entries)
 }
 
-// Want notes that this VM has a claim for the shard, so that it looks for its
-// owner; refresh asks it to look at once.
+// Want records that this VM has a claim for the shard, so that it polls the head
+// to find the owner. With refresh it reads the head in its next step.
 func (s *Shard) Want(now Time, refresh bool) {
-	s.wanted = now
+	s.lastDemand = now
 	if refresh {
 		s.nextRead = min(s.nextRead, now)
 	}
 }
 
-func (s *Shard) do(action Action) { s.out = append(s.out, action) }
+func (s *Shard) emit(action Action) { s.actions = append(s.actions, action) }
 
-func (s *Shard) notice(kind NoticeKind) {
+func (s *Shard) emitNotice(kind NoticeKind) {
 	holder := s.head.Owner.Name
 	if s.owner != nil {
 		holder = s.options.Self.Name
 	}
-	s.do(Notice{Kind: kind, Epoch: s.head.Epoch, Holder: holder})
+	s.emit(Notice{Kind: kind, Epoch: s.head.Epoch, Holder: holder})
 }
 
 func (s *Shard) setLive(vms []lease.VM) {
 	s.live = lease.Rank(s.options.Shard, s.options.Home, vms)
-	s.position = lease.Position(s.live, s.options.Self.Name)
+	s.rank = lease.Position(s.live, s.options.Self.Name)
 	clear(s.liveOrigins)
 	for _, vm := range vms {
 		s.liveOrigins[HashOrigin(vm.Incarnation)] = true
 	}
 }
 
-// advance does what has become due.
+// advance runs everything that is due at now.
 func (s *Shard) advance(now Time) {
 	if s.owner != nil {
 		s.advanceOwner(now)
 	}
-	if !s.reading && now >= s.nextRead && s.watches(now) {
+	if !s.reading && now >= s.nextRead && s.shouldReadHead(now) {
 		s.reading = true
 		s.nextRead = now + s.options.Poll
-		s.do(ReadHead{})
+		s.emit(ReadHead{})
 	}
 }
 
-// Next is when the shard wants its next Tick, if nothing happens before.
+// Next returns when the shard needs its next Tick if no other event comes first.
 func (s *Shard) Next(now Time) Time {
 	next := now + s.options.Poll
-	if !s.reading && s.watches(now) {
+	if !s.reading && s.shouldReadHead(now) {
 		next = min(next, s.nextRead)
 	}
 	o := s.owner
 	if o == nil {
 		return next
 	}
-	if len(o.waiting) > 0 {
-		next = min(next, o.waiting[0].expires, now+s.options.Interval)
+	if len(o.waiters) > 0 {
+		next = min(next, o.waiters[0].expires, now+s.options.Interval)
 	}
 	if len(o.peeks) > 0 {
 		next = min(next, o.peeks[0].expires)
 	}
-	if o.flight == nil && !o.unsure && (o.end() > o.confirmed || o.releasing || o.peekNeedsWrite()) {
+	if o.inFlight == nil && !o.outcomeUnknown && (o.end() > o.confirmed || o.releasing || o.peekNeedsWrite()) {
 		next = min(next, o.nextWrite)
 	}
 	return max(next, now)
 }
 
-// watches tells whether the head is worth reading: by an owner to learn what
-// came of a write, by the others to learn who owns the shard.
-func (s *Shard) watches(now Time) bool {
+// shouldReadHead reports whether this VM needs to read the head: an owner to learn
+// the outcome of a write, any other VM to learn who owns the shard.
+func (s *Shard) shouldReadHead(now Time) bool {
 	if s.owner != nil {
-		return s.owner.unsure
+		return s.owner.outcomeUnknown
 	}
-	if s.stopping && s.take == nil {
+	if s.stopping && s.takeover == nil {
 		return false
 	}
-	return s.take != nil || s.position < PollingRanks || s.head.isStandby(s.options.Self) || now < s.wanted+idleAfter
+	return s.takeover != nil || s.rank < PollingRanks || s.head.isStandby(s.options.Self) || now < s.lastDemand+demandTimeout
 }
 
-func (s *Shard) headRead(now Time, e HeadRead) {
+func (s *Shard) handleHeadRead(now Time, e HeadRead) {
 	s.reading = false
 	if e.Failed {
 		s.observer.Failed()
 		return
 	}
 	if e.Version < s.version {
-		// A read that was overtaken by a newer one, or an object that an
-		// operator deleted: nothing may be decided by what is older.
+		// A newer read came first, or an operator deleted the object. No
+		// decision may be based on an older version.
 		return
 	}
-	if !lease.Plausible(s.highest, e.Head.Epoch) {
-		s.do(Notice{Kind: NoticeImplausible, Epoch: e.Head.Epoch, Holder: e.Head.Owner.Name})
+	if !lease.Plausible(s.highestEpoch, e.Head.Epoch) {
+		s.emit(Notice{Kind: NoticeImplausible, Epoch: e.Head.Epoch, Holder: e.Head.Owner.Name})
 		return
 	}
 	s.observer.Read(e.Sent, e.Version)
-	mine := e.Version > 0 && same(e.Head.Owner, s.options.Self)
+	mine := e.Version > 0 && sameProcess(e.Head.Owner, s.options.Self)
 	switch {
 	case s.owner != nil && mine && e.Head.Epoch == s.owner.epoch:
-		s.ownHeadSeen(now, e)
-	case s.take != nil && mine && e.Head.Epoch == s.take.head.Epoch:
-		s.tookOver(now, e.Version)
+		s.handleOwnHeadRead(now, e)
+	case s.takeover != nil && mine && e.Head.Epoch == s.takeover.head.Epoch:
+		s.completeTakeover(now, e.Version)
 	default:
-		s.otherHeadSeen(now, e)
+		s.handleOtherHeadRead(now, e)
 	}
 }
 
-func (s *Shard) otherHeadSeen(now Time, e HeadRead) {
+func (s *Shard) handleOtherHeadRead(now Time, e HeadRead) {
 	if s.owner != nil {
-		s.fenced()
+		s.stepDown()
 	}
-	s.see(e.Version, e.Head)
-	if s.take != nil {
-		if s.take.ifVersion == e.Version {
-			// The takeover may yet land: until the head moves, this VM must
-			// neither hold ops for the owner nor forget what it wrote.
+	s.setHead(e.Version, e.Head)
+	if s.takeover != nil {
+		if s.takeover.ifVersion == e.Version {
+			// The takeover write may still take effect. Until the head changes,
+			// this VM must neither accept ops from the owner nor drop its takeover.
 			s.writeTakeover(now)
 			return
 		}
-		s.take = nil
+		s.takeover = nil
 	}
 	s.considerTakeover(now, e.Sent)
 }
 
-func (s *Shard) see(version uint64, head Head) {
+func (s *Shard) setHead(version uint64, head Head) {
 	s.version = version
 	s.head = head
-	s.highest = max(s.highest, head.Epoch)
-	if s.take == nil {
-		s.tail = s.tail.journalled(head)
+	s.highestEpoch = max(s.highestEpoch, head.Epoch)
+	if s.takeover == nil {
+		s.tail = s.tail.withoutJournalled(head)
 	}
 }
 
-func (s *Shard) headWritten(now Time, e HeadWritten) {
-	if s.take != nil && e.Number == s.take.number {
-		s.take.waiting = false
+func (s *Shard) handleHeadWritten(now Time, e HeadWritten) {
+	if s.takeover != nil && e.Number == s.takeover.number {
+		s.takeover.inFlight = false
 		if e.Result == ResultDone {
-			s.tookOver(now, e.Version)
+			s.completeTakeover(now, e.Version)
 			return
 		}
-		// A platform that refuses writes at once and answers reads would
-		// otherwise be asked in a loop.
-		s.nextRead = now + retryWrite
+		// Without a delay, a platform that fails writes at once but answers
+		// reads would be called in a tight loop.
+		s.nextRead = now + writeRetryDelay
 		return
 	}
-	if s.owner != nil && s.owner.flight != nil && e.Number == s.owner.flight.number {
-		s.ownHeadWritten(now, e)
+	if s.owner != nil && s.owner.inFlight != nil && e.Number == s.owner.inFlight.number {
+		s.handleOwnHeadWritten(now, e)
 	}
 }
 
-// release hands the shard over, or keeps this VM from taking it.
-func (s *Shard) release() {
+// startRelease begins to hand over the shard, and keeps this VM from taking it.
+func (s *Shard) startRelease() {
 	s.stopping = true
 	if s.owner != nil {
 		s.owner.releasing = true
 	}
 }
 
-// decide answers a call.
+// decide answers a call with a verdict.
 func (s *Shard) decide(call uint64, verdict core.Verdict) {
 	decided := Decided{Call: call, Verdict: verdict}
 	if verdict == core.VerdictGranted {
 		decided.ValidFor = s.options.GrantValidity
 	}
-	s.do(decided)
+	s.emit(decided)
 }
--- a/internal/core/claim/standby.go
+++ b/internal/core/claim/standby.go
@@ -7,8 +7,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/lease"
 )
 
-// tail is what this VM holds as a standby: ops that the owner could not put
-// into the platform when it granted them.
+// tail is the part of the journal that this VM holds as a standby: ops that the
+// owner had not yet stored in the platform when it granted them.
 type tail struct {
 	epoch uint64
 	start uint64
@@ -17,40 +17,41 @@
 
 func (t tail) end() uint64 { return t.start + uint64(len(t.ops)) }
 
-// takeover is a write that makes this VM the owner, until it is known what came of it.
+// takeover is a write that makes this VM the owner and whose outcome is not known yet.
 type takeover struct {
 	number    uint64
 	ifVersion uint64
 	head      Head
-	waiting   bool
-	// sent is when the first write was sent.
-	sent Time
+	inFlight  bool
+	// firstSent is when the write was first sent.
+	firstSent Time
 }
 
-// append holds ops for an owner. Accepting means: should this VM take over, the
-// ops go with it. So it refuses from the moment when it begins to take over,
-// and the owner, which needs every standby's word, grants nothing from then on.
-func (s *Shard) append(e Append) {
+// handleAppend stores an owner's ops as its standby. By accepting them, this VM
+// promises to include them in the journal if it takes over. It therefore refuses
+// from the start of its own takeover, and the owner, which needs the
+// acknowledgement of every standby, grants no more claims.
+func (s *Shard) handleAppend(e Append) {
 	refuse := AppendReply{Call: e.Call, Refused: true}
-	if !same(e.To, s.options.Self) || s.take != nil || e.Epoch < s.highest || !lease.Plausible(s.highest, e.Epoch) {
-		s.do(refuse)
+	if !sameProcess(e.To, s.options.Self) || s.takeover != nil || e.Epoch < s.highestEpoch || !lease.Plausible(s.highestEpoch, e.Epoch) {
+		s.emit(refuse)
 		return
 	}
 	if s.owner != nil {
 		if e.Epoch <= s.owner.epoch {
-			s.do(refuse)
+			s.emit(refuse)
 			return
 		}
-		s.fenced()
+		s.stepDown()
 	}
-	s.highest = max(s.highest, e.Epoch)
-	s.tail = s.tail.extended(e)
-	s.do(AppendReply{Call: e.Call, End: s.tail.end()})
+	s.highestEpoch = max(s.highestEpoch, e.Epoch)
+	s.tail = s.tail.withAppend(e)
+	s.emit(AppendReply{Call: e.Call, End: s.tail.end()})
 }
 
-// extended adds the ops of an Append that follow on without a gap. Ops below
-// Confirmed are in the platform and need no longer be held.
-func (t tail) extended(e Append) tail {
+// withAppend returns the tail with the ops of an Append added, if they continue it
+// without a gap. Ops below Confirmed are stored in the platform and are dropped.
+func (t tail) withAppend(e Append) tail {
 	if e.Epoch != t.epoch || t.end() < e.Confirmed && e.From <= e.Confirmed {
 		if e.From > e.Confirmed {
 			return tail{epoch: e.Epoch, start: e.Confirmed}
@@ -68,8 +69,8 @@
 	return t
 }
 
-// journalled drops what a head shows to be in the platform.
-func (t tail) journalled(head Head) tail {
+// withoutJournalled returns the tail without the ops that a head shows to be stored in the platform.
+func (t tail) withoutJournalled(head Head) tail {
 	if head.Epoch > t.epoch {
 		return tail{}
 	}
@@ -80,13 +81,14 @@
 	return tail{epoch: t.epoch, start: t.start + drop, ops: slices.Clone(t.ops[drop:])}
 }
 
-// considerTakeover takes the shard over once its head has been seen unchanged
-// for long enough. How long depends on what this VM can know: a standby knows
-// everything; any VM does if the owner named no standbys or has released the
-// shard; the others must first outwait the owner's right to go on without the
-// platform, and then say of a key that they don't know that it may have run.
+// considerTakeover takes over the shard once its head has stayed unchanged for long
+// enough. The wait depends on whether this VM can have the complete journal: a
+// standby has it, and every VM has it if the owner named no standbys or has
+// released the shard. Any other VM must also wait out OutageLimit, during which the
+// owner may commit on its standbys, and must then answer for unknown keys that they
+// may have run.
 func (s *Shard) considerTakeover(now, sent Time) {
-	if s.stopping || s.position >= len(s.live) {
+	if s.stopping || s.rank >= len(s.live) {
 		return
 	}
 	wait, gap := s.takeoverWait()
@@ -94,7 +96,7 @@
 		return
 	}
 	next := s.head
-	if s.version > 0 && !s.joinTail(&next) {
+	if s.version > 0 && !s.appendTail(&next) {
 		return
 	}
 	next.Epoch++
@@ -106,34 +108,35 @@
 	if gap {
 		next.Gap = &Gap{}
 	}
-	s.take = &takeover{ifVersion: s.version, head: next, sent: now}
+	s.takeover = &takeover{ifVersion: s.version, head: next, firstSent: now}
 	s.writeTakeover(now)
 }
 
 func (s *Shard) takeoverWait() (wait time.Duration, gap bool) {
-	turn := time.Duration(s.position) * s.turn()
+	stagger := time.Duration(s.rank) * s.takeoverStagger()
 	if s.version == 0 || s.head.Released {
-		return turn, false
+		return stagger, false
 	}
-	lapse := s.head.Duration + s.options.ClockError
+	expiry := s.head.Duration + s.options.ClockError
 	if len(s.head.Standbys) == 0 {
-		return lapse + turn, false
+		return expiry + stagger, false
 	}
 	for i, standby := range s.head.Standbys {
-		if same(standby, s.options.Self) {
-			return lapse + time.Duration(i)*s.turn(), false
+		if sameProcess(standby, s.options.Self) {
+			return expiry + time.Duration(i)*s.takeoverStagger(), false
 		}
 	}
-	return s.options.OutageLimit + lapse + turn, true
+	return s.options.OutageLimit + expiry + stagger, true
 }
 
-// turn is the back-off between two VMs that may both take a shard: long enough
-// for the second to read what the first wrote.
-func (s *Shard) turn() time.Duration { return s.options.Poll + s.options.Poll/2 }
+// takeoverStagger is the delay between the takeovers of consecutive candidates: long
+// enough for the second to read the head that the first has written.
+func (s *Shard) takeoverStagger() time.Duration { return s.options.Poll + s.options.Poll/2 }
 
-// joinTail adds what this VM holds as a standby to a head. It returns false
-// when the head is older than what the owner has told.
-func (s *Shard) joinTail(head *Head) bool {
+// appendTail adds the ops that this VM holds as a standby to a head. It returns
+// false when the head is older than the state that the owner has reported in its
+// appends.
+func (s *Shard) appendTail(head *Head) bool {
 	if s.tail.epoch > head.Epoch {
 		return false
 	}
@@ -149,17 +152,17 @@
 	return true
 }
 
-// chooseStandbys names the VMs that may take over with full knowledge.
+// chooseStandbys returns the VMs that may take over with the complete journal.
 func (s *Shard) chooseStandbys() []lease.VM {
 	others := slices.DeleteFunc(slices.Clone(s.live), func(vm lease.VM) bool { return vm.Name == s.options.Self.Name })
 	slices.SortStableFunc(others, func(a, b lease.VM) int {
-		here := func(vm lease.VM) bool {
+		preferred := func(vm lease.VM) bool {
 			return (vm.DataCentre == s.options.Self.DataCentre) != s.options.StandbysElsewhere
 		}
 		switch {
-		case here(a) == here(b):
+		case preferred(a) == preferred(b):
 			return 0
-		case here(a):
+		case preferred(a):
 			return -1
 		default:
 			return 1
@@ -169,27 +172,27 @@
 }
 
 func (s *Shard) writeTakeover(now Time) {
-	if s.take.waiting {
+	if s.takeover.inFlight {
 		return
 	}
-	s.number++
-	s.take.number = s.number
-	s.take.waiting = true
+	s.lastWriteNumber++
+	s.takeover.number = s.lastWriteNumber
+	s.takeover.inFlight = true
 	s.nextRead = now + s.options.Poll
-	s.do(WriteHead{Number: s.number, IfVersion: s.take.ifVersion, Head: s.take.head})
+	s.emit(WriteHead{Number: s.lastWriteNumber, IfVersion: s.takeover.ifVersion, Head: s.takeover.head})
 }
 
-// tookOver makes this VM the owner. It decides nothing before the whole journal is read.
-func (s *Shard) tookOver(now Time, version uint64) {
-	head := s.take.head
-	sent := s.take.sent
-	s.take = nil
+// completeTakeover makes this VM the owner. It grants no claims before the whole journal is read.
+func (s *Shard) completeTakeover(now Time, version uint64) {
+	head := s.takeover.head
+	sent := s.takeover.firstSent
+	s.takeover = nil
 	s.tail = tail{}
-	s.see(version, head)
+	s.setHead(version, head)
 	s.owner = newOwner(now, sent, head, s.options.Retention)
-	s.notice(NoticeOwned)
+	s.emitNotice(NoticeOwned)
 	if head.Gap != nil {
-		s.notice(NoticeGap)
+		s.emitNotice(NoticeGap)
 	}
-	s.load(now)
+	s.loadPages(now)
 }
--- a/internal/core/claim/table.go
+++ b/internal/core/claim/table.go
@@ -6,26 +6,26 @@
 	"oleandershunt.example/oleandershunt/internal/core"
 )
 
-// entry is what is known of a key.
+// entry is the state of one key.
 type entry struct {
 	body    uint64
 	request uint64
-	// index is the number of the op that last changed the entry.
+	// index is the journal index of the op that last changed the entry.
 	index  uint64
 	origin uint32
 	kind   OpKind
-	// granted says that this VM has told the request's VM that it may dispatch.
+	// granted is set once this VM has granted the claim to the request's VM.
 	granted bool
 }
 
-// table is the state of a shard's keys.
+// table holds the state of a shard's keys.
 type table struct {
 	entries map[KeyHash]entry
 }
 
 func newTable() table { return table{entries: make(map[KeyHash]entry)} }
 
-// apply takes one op into the state. Ops are applied in the order of their numbers.
+// apply applies one op to the table. Ops must be applied in index order.
 func (t *table) apply(index uint64, op Op) {
 	known, exists := t.entries[op.Key]
 	if op.Kind == OpClaim {
@@ -33,7 +33,7 @@
 		return
 	}
 	if exists && known.request != op.Request {
-		// A late word about an earlier request: the key belongs to another now.
+		// A delayed settlement of an earlier request: another request has claimed the key since.
 		return
 	}
 	if op.Kind == OpFree {
@@ -45,13 +45,13 @@
 	t.entries[op.Key] = entry{body: op.Body, request: op.Request, index: index, origin: op.Origin, kind: op.Kind}
 }
 
-// expire forgets the keys whose last op has a number below end.
+// expire removes the keys whose last op has an index below end.
 func (t *table) expire(end uint64) {
 	maps.DeleteFunc(t.entries, func(_ KeyHash, e entry) bool { return e.index < end })
 }
 
-// verdict answers a claim for a known key. live tells whether the process that
-// claimed it is still there.
+// verdict returns the verdict for a claim of a key that has an entry. live is
+// whether the process that claimed the key is still alive.
 func (e entry) verdict(op Op, live bool) core.Verdict {
 	switch {
 	case e.request == op.Request && e.kind == OpClaim:
