--- a/internal/core/claim/standby.go
+++ b/internal/core/claim/standby.go
@@ -92,7 +92,7 @@
 		return
 	}
 	wait, gap := s.takeoverWait()
-	if s.observer.Unchanged(sent) < wait {
+	if s.observer.UnchangedFor(sent) < wait {
 		return
 	}
 	next := s.head
--- a/internal/core/lease/bench_test.go
+++ b/internal/core/lease/bench_test.go
@@ -7,8 +7,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/lease"
 )
 
-// BenchmarkRank is one order of the VMs of a large deployment: each VM makes some ten a
-// second.
+// BenchmarkRank ranks the VMs of a large deployment. Each VM does this about ten times
+// a second.
 func BenchmarkRank(b *testing.B) {
 	var vms []lease.VM
 	for i := range 195 {
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease decides about roles that one VM holds at a time: whether a
-// holder's lease has lapsed as an observer sees it, which epochs are plausible,
-// and who comes first when a role is free. It does no I/O and reads no clock.
+// Package lease has the rules for roles that one VM holds at a time: whether an
+// observer may consider the holder's lease expired, which epochs are plausible, and
+// in which order VMs may take a free role. It does no I/O and reads no clock.
 package lease
 
 import (
@@ -11,27 +11,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// VM is a process that may hold a role. A VM that restarts has lost what it
-// knew, so it counts as another one: Incarnation tells them apart.
+// VM is a process that may hold a role. A VM loses its in-memory state when it
+// restarts, so the new process counts as another VM with another Incarnation.
 type VM struct {
 	Name        string `json:"name"`
 	DataCentre  string `json:"dataCentre"`
 	Incarnation string `json:"incarnation"`
-	// Cores is the processor time that the VM has, in cores; 0 where it isn't known.
+	// Cores is the VM's CPU capacity in cores. 0 means that it is unknown.
 	Cores float64 `json:"cores,omitempty"`
 }
 
-// The bounds on epochs that are believed.
+// The bounds on plausible epochs.
 const (
-	// maxEpochJump is how far beyond the highest epoch known an epoch may lie.
+	// maxEpochJump is the maximum by which an epoch may exceed the highest known one.
 	maxEpochJump = 1000
-	// maxEpoch is above any epoch that a deployment can reach by takeovers.
+	// maxEpoch exceeds any epoch that a deployment can reach through takeovers.
 	maxEpoch = 1 << 48
 )
 
-// Plausible tells whether an epoch may follow the highest one known. A damaged
-// or foreign record with a huge epoch would otherwise fence off every holder
-// for good. A VM that knows no epoch yet accepts any below the absolute bound.
+// Plausible reports whether an epoch may follow the highest known one. Otherwise a
+// damaged or foreign record with a huge epoch would fence every holder permanently.
+// A VM that knows no epoch yet accepts any epoch below maxEpoch.
 func Plausible(known, epoch uint64) bool {
 	if epoch >= maxEpoch {
 		return false
@@ -39,61 +39,60 @@
 	return known == 0 || epoch <= known+maxEpochJump
 }
 
-// Observer judges from outside whether a lease has lapsed. It compares nothing
-// with the holder's clock: a lease has lapsed when the observer has read the
-// same version of its record, with no failed read between, for longer than the
-// lease. A failed read starts the time anew, so that after an outage of the
-// platform the holder can renew before anyone else steps in.
+// Observer tracks for how long another VM's lease has not been renewed. It does not
+// rely on the holder's clock: a lease has expired once the observer has read the same
+// version of its record, without a failed read in between, for longer than the lease
+// duration. A failed read restarts that time, so that after an outage of the platform
+// the holder can renew before another VM takes over.
 type Observer struct {
-	version uint64
-	since   time.Duration
-	valid   bool
+	version        uint64
+	unchangedSince time.Duration
+	valid          bool
 }
 
-// Read notes that the record had a version when a read that was sent at sent ended.
-func (o *Observer) Read(sent time.Duration, version uint64) {
+// RecordRead records the version that was returned by a read sent at sent.
+func (o *Observer) RecordRead(sent time.Duration, version uint64) {
 	if o.valid && o.version == version {
 		return
 	}
 	o.version = version
-	o.since = sent
+	o.unchangedSince = sent
 	o.valid = true
 }
 
-// Failed notes that a read failed.
-func (o *Observer) Failed() { o.valid = false }
+// RecordFailure records a failed read.
+func (o *Observer) RecordFailure() { o.valid = false }
 
-// Unchanged is how long the record has been seen unchanged by reads up to the
-// last one, which was sent at sent.
-func (o *Observer) Unchanged(sent time.Duration) time.Duration {
+// UnchangedFor returns for how long the record has been unchanged up to the last
+// read, which was sent at sent.
+func (o *Observer) UnchangedFor(sent time.Duration) time.Duration {
 	if !o.valid {
 		return 0
 	}
-	return sent - o.since
+	return sent - o.unchangedSince
 }
 
-// Rank orders the VMs that may take a free role: those of the role's home data
-// centre first, of these the ones with most processor time, each group by rendezvous
-// hashing. The order spreads the roles over the VMs, and the loss of one VM moves only
-// the roles which it held.
+// Rank orders the VMs that may take a free role: VMs of the role's home data centre
+// first, then by descending CPU capacity, then by rendezvous hashing. The order spreads
+// the roles over the VMs, and the loss of one VM moves only the roles that it held.
 //
-// What can go wrong: a VM with a fifth of a core holds a role, and answers those that
-// wait for it, and its callers, late.
+// VMs with more CPU capacity rank first because a VM with a fifth of a core that holds
+// a role is late in answering the VMs that depend on the role, and its own callers.
 func Rank(role, home string, vms []VM) []VM {
 	type candidate struct {
-		vm    VM
-		far   int
-		score uint64
+		vm     VM
+		remote int
+		score  uint64
 	}
 	candidates := make([]candidate, len(vms))
 	for i, vm := range vms {
-		candidates[i] = candidate{vm: vm, score: score(role, vm.Name)}
+		candidates[i] = candidate{vm: vm, score: rendezvousScore(role, vm.Name)}
 		if vm.DataCentre != home {
-			candidates[i].far = 1
+			candidates[i].remote = 1
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.far, b.far), cmp.Compare(b.vm.Cores, a.vm.Cores), cmp.Compare(b.score, a.score), cmp.Compare(a.vm.Name, b.vm.Name))
+		return cmp.Or(cmp.Compare(a.remote, b.remote), cmp.Compare(b.vm.Cores, a.vm.Cores), cmp.Compare(b.score, a.score), cmp.Compare(a.vm.Name, b.vm.Name))
 	})
 	ranked := make([]VM, len(vms))
 	for i, c := range candidates {
@@ -102,7 +101,7 @@
 	return ranked
 }
 
-// Position is the VM's place in the rank, from 0, or the rank's length when it is absent.
+// Position returns the index of a VM in ranked, or len(ranked) if it is absent.
 func Position(ranked []VM, name string) int {
 	for i, vm := range ranked {
 		if vm.Name == name {
@@ -112,4 +111,4 @@
 	return len(ranked)
 }
 
-func score(role, vm string) uint64 { return xxhash.Sum64String(role + "\x00" + vm) }
+func rendezvousScore(role, vm string) uint64 { return xxhash.Sum64String(role + "\x00" + vm) }
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -10,8 +10,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/lease"
 )
 
-// Symptom: every holder is fenced off for good. Sequence: a damaged record shows
-// a huge epoch and is believed. Cause: nothing can exceed it any more.
+// Guards against accepting a damaged record with a huge epoch: no later epoch could
+// exceed it, and every holder would be fenced permanently.
 func TestImplausibleEpochs(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(lease.Plausible(5, 6)).To(BeTrue())
@@ -21,26 +21,26 @@
 	g.Expect(lease.Plausible(0, 1<<48)).To(BeFalse())
 }
 
-// Symptom: when the platform returns, a standby takes a shard from a healthy
-// owner. Sequence: it read the record before the outage and reads it unchanged
-// after it. Cause: the outage counted as silence of the owner.
-func TestFailedReadStartsTheTimeAnew(t *testing.T) {
+// Guards against a takeover from a healthy owner right after an outage of the platform:
+// a standby reads the same version before and after the outage, and counts the outage
+// as time in which the owner did not renew.
+func TestFailedReadRestartsTheLeaseTimeout(t *testing.T) {
 	g := NewWithT(t)
 	var observer lease.Observer
-	observer.Read(time.Second, 7)
-	observer.Read(3*time.Second, 7)
-	g.Expect(observer.Unchanged(3 * time.Second)).To(Equal(2 * time.Second))
-	observer.Failed()
-	g.Expect(observer.Unchanged(60 * time.Second)).To(BeZero())
-	observer.Read(60*time.Second, 7)
-	g.Expect(observer.Unchanged(60 * time.Second)).To(BeZero())
-	observer.Read(61*time.Second, 8)
-	g.Expect(observer.Unchanged(61 * time.Second)).To(BeZero())
+	observer.RecordRead(time.Second, 7)
+	observer.RecordRead(3*time.Second, 7)
+	g.Expect(observer.UnchangedFor(3 * time.Second)).To(Equal(2 * time.Second))
+	observer.RecordFailure()
+	g.Expect(observer.UnchangedFor(60 * time.Second)).To(BeZero())
+	observer.RecordRead(60*time.Second, 7)
+	g.Expect(observer.UnchangedFor(60 * time.Second)).To(BeZero())
+	observer.RecordRead(61*time.Second, 8)
+	g.Expect(observer.UnchangedFor(61 * time.Second)).To(BeZero())
 }
 
-// Symptom: the loss of one VM moves roles between others, or one VM holds most
-// roles. Cause: an order that depends on the number of VMs, or on names alone.
-func TestRankSpreadsRolesAndMovesFew(t *testing.T) {
+// Guards against a ranking by the number of VMs or by names alone: the loss of one VM
+// would move roles between other VMs, or one VM would hold most roles.
+func TestRankSpreadsRolesAndMovesOnlyThoseOfALostVM(t *testing.T) {
 	g := NewWithT(t)
 	var vms []lease.VM
 	for i := range 9 {
--- a/internal/role/role.go
+++ b/internal/role/role.go
@@ -175,10 +175,10 @@
 	}
 	var seen record
 	if err != nil || json.Unmarshal(object.Value, &seen) != nil || !lease.Plausible(r.Tenure().Epoch, seen.Epoch) {
-		r.observer.Failed()
+		r.observer.RecordFailure()
 		return err == nil
 	}
-	r.observer.Read(now, uint64(object.Version))
+	r.observer.RecordRead(now, uint64(object.Version))
 	r.holder = seen.Holder
 	if r.free(now, seen, position) {
 		r.take(now, seen.Epoch+1, func(next record) (platform.Object, error) {
@@ -196,7 +196,7 @@
 	}
 	version, held := r.Ask(ctx, r.Name, r.holder)
 	if held {
-		r.observer.Read(now, uint64(version))
+		r.observer.RecordRead(now, uint64(version))
 	}
 	return held
 }
@@ -209,13 +209,13 @@
 	if seen.Released || seen.Holder.Name == r.Self.Name {
 		return true
 	}
-	return r.observer.Unchanged(now) >= r.Times.Lease+time.Duration(position)*r.Times.Interval
+	return r.observer.UnchangedFor(now) >= r.Times.Lease+time.Duration(position)*r.Times.Interval
 }
 
 func (r *Role) take(now time.Duration, epoch uint64, write func(record) (platform.Object, error)) {
 	object, err := write(record{Holder: r.Self, Epoch: epoch})
 	if err != nil {
-		r.observer.Failed()
+		r.observer.RecordFailure()
 		return
 	}
 	r.set(func(t *Tenure) {
