--- a/internal/role/role.go
+++ b/internal/role/role.go
@@ -1,7 +1,7 @@
-// Package role keeps a role that one VM holds at a time, by a lease in the
-// platform: every change is a conditional write, so that of two VMs which want it
-// one gets it. internal/core/lease decides when a lease has lapsed and who comes
-// first.
+// Package role implements a role that one VM holds at a time by means of a lease in
+// the platform. Every change of the lease is a conditional write, so that only one of
+// several competing VMs acquires it. Package lease decides when a lease has expired and
+// which VM may take it first.
 package role
 
 import (
@@ -16,74 +16,76 @@
 	"oleandershunt.example/oleandershunt/internal/platform"
 )
 
-// Store is the part of the platform that a role needs.
+// Store is the part of the platform API that a role uses.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (platform.Object, error)
 	Create(ctx context.Context, kind, name string, value any) (platform.Object, error)
 	Update(ctx context.Context, kind, name string, version history.Version, value any) (platform.Object, error)
 }
 
-// Times are the times of a role.
+// Times are the durations and intervals of a role.
 type Times struct {
-	// Lease is how long the role holds without being renewed.
+	// Lease is the lease duration: how long the role is held without a renewal.
 	Lease time.Duration
-	// Interval is the time between two renewals, and between two looks of the VMs
-	// that come first when the role is free.
+	// Interval is the time between two renewals, and between two checks of the lease
+	// by a candidate.
 	Interval time.Duration
-	// Seldom is the time between two looks of all other VMs, who may know more or
-	// less of the VMs than those do. 0: they don't look.
+	// Seldom is the time between two checks by a VM that isn't a candidate. Such VMs
+	// check too because their view of the live VMs may differ from the candidates'.
+	// 0 means that they don't check.
 	Seldom time.Duration
-	// SeldomPerVM is added to Seldom for each VM that may hold the role, so that the looks
-	// of all of them together cost the same however many there are.
+	// SeldomPerVM is added to Seldom for each VM that may hold the role, so that the total
+	// rate of checks does not grow with the number of VMs.
 	SeldomPerVM time.Duration
-	// Retry is the time to the next look after one that failed. 0 is Interval.
+	// Retry is the time from a failed check to the next one. 0 means Interval.
 	Retry time.Duration
 }
 
-// Options are what a role is made of.
+// Options are the settings and dependencies of a Role.
 type Options struct {
 	Store Store
-	// Kind and Name name the lease's object.
+	// Kind and Name identify the lease's object in the platform.
 	Kind, Name string
 	Self       lease.VM
 	Times      Times
-	// Candidates is the number of VMs that come first; looks of all VMs would be too
-	// many reads.
+	// Candidates is the number of first-ranked VMs that check the lease each Interval.
+	// Frequent checks by all VMs would be too many reads of the platform.
 	Candidates int
-	// Now is the VM's clock, suspension included where the VM can be suspended.
+	// Now returns the VM's monotonic time. It includes time in which the VM was
+	// suspended, if the VM can be suspended.
 	Now func() time.Duration
-	// Ask, when set, asks the holder itself for the version of the lease that it holds.
-	// Only when it doesn't say so is the platform read.
-	//
-	// What it gains: looks at a role that is held cost no calls of the platform.
+	// Ask, when set, queries the holder for the version of the lease that it holds. The
+	// platform is read only if the holder does not confirm that it holds the role, so
+	// that checks of a held role cost no calls of the platform.
 	Ask func(ctx context.Context, role string, holder lease.VM) (version history.Version, held bool)
 }
 
-// record is the lease's object. Every renewal is a new version of it.
+// record is the value of the lease's object. Every renewal creates a new version of it.
 type record struct {
 	Holder lease.VM `json:"holder"`
 	Epoch  uint64   `json:"epoch"`
-	// Released says that the holder gave the role up.
+	// Released is set when the holder has given up the role.
 	Released bool `json:"released,omitempty"`
 }
 
-// Role is this VM's part in a role. Step is for one goroutine; the other methods
-// are safe for concurrent use.
+// Role is this VM's participation in a role. Step must be called by one goroutine
+// only; the other methods are safe for concurrent use.
 type Role struct {
 	Options
 
 	observer lease.Observer
-	next     time.Duration
-	// holder is who held the role at the last look at the platform.
-	holder lease.VM
-	// outside says that this VM was no candidate at its last step.
-	outside bool
-
-	mu     sync.Mutex
-	tenure Tenure
+	nextStep time.Duration
+	// lastHolder is the holder at the last read of the platform.
+	lastHolder lease.VM
+	// notCandidate is set when this VM was not a candidate at its last step.
+	notCandidate bool
+
+	mu    sync.Mutex
+	state Tenure
 }
 
-// Tenure is a holder's time. Epoch grows with each of them.
+// Tenure is one period in which this VM holds the role. Epoch increases with each
+// acquisition of the role by any VM.
 type Tenure struct {
 	Held         bool
 	Epoch        uint64
@@ -92,30 +94,31 @@
 	Version history.Version
 }
 
-// New makes a role that this VM doesn't hold.
+// New returns a Role that this VM does not hold yet.
 func New(options Options) *Role { return &Role{Options: options} }
 
-// Tenure tells whether the role is held now. It must be asked again right before
-// each act: a VM that was paused past its lease would else act beside its successor.
+// Tenure returns the current state, in which Held is false once the lease has expired.
+// Callers must check it immediately before each action. Otherwise a VM that was paused
+// past the end of its lease would act concurrently with its successor.
 func (r *Role) Tenure() Tenure {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.tenure
-	now.Held = now.Held && r.Now() < now.Until
-	return now
+	current := r.state
+	current.Held = current.Held && r.Now() < current.Until
+	return current
 }
 
-// Held is Tenure().Held.
+// Held reports whether this VM holds the role now.
 func (r *Role) Held() bool { return r.Tenure().Held }
 
-// Step renews the lease, or takes it when it is free and this VM is next. It may
-// be called more often than anything is due. vms are the VMs that may hold it.
+// Step renews the lease, or acquires it when it is free and this VM is next in rank.
+// It returns at once when nothing is due. vms are the VMs that may hold the role.
 func (r *Role) Step(ctx context.Context, vms []lease.VM) {
 	now := r.Now()
-	if now < r.next {
+	if now < r.nextStep {
 		return
 	}
-	r.next = now + r.Times.Interval
+	r.nextStep = now + r.Times.Interval
 	if r.Held() {
 		r.renew(ctx, now)
 		return
@@ -126,18 +129,18 @@
 			return
 		}
 		position = r.Candidates
-		r.next = now + r.Times.Seldom + time.Duration(len(vms))*r.Times.SeldomPerVM
-		if !r.outside {
-			// The candidates look now. All others together would be too many reads when
-			// all VMs start.
-			r.outside = true
+		r.nextStep = now + r.Times.Seldom + time.Duration(len(vms))*r.Times.SeldomPerVM
+		if !r.notCandidate {
+			// Only the candidates check at startup. When all VMs start at once, checks
+			// by the others as well would be too many reads of the platform.
+			r.notCandidate = true
 			return
 		}
 	} else {
-		r.outside = false
+		r.notCandidate = false
 	}
-	if !r.look(ctx, now, position) && r.Times.Retry > 0 {
-		r.next = now + r.Times.Retry
+	if !r.checkLease(ctx, now, position) && r.Times.Retry > 0 {
+		r.nextStep = now + r.Times.Retry
 	}
 }
 
@@ -146,28 +149,28 @@
 	object, err := r.Store.Update(ctx, r.Kind, r.Name, held.Version, record{Holder: r.Self, Epoch: held.Epoch})
 	switch {
 	case err == nil:
-		r.set(func(t *Tenure) { t.Version, t.Until = object.Version, now+r.Times.Lease })
+		r.updateState(func(t *Tenure) { t.Version, t.Until = object.Version, now+r.Times.Lease })
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrNotFound):
-		r.set(func(t *Tenure) { t.Held = false })
+		r.updateState(func(t *Tenure) { t.Held = false })
 	}
 }
 
-func (r *Role) set(change func(*Tenure)) {
+func (r *Role) updateState(change func(*Tenure)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change(&r.tenure)
+	change(&r.state)
 }
 
-// look reads the lease and takes it when it is free. It returns false when the
-// platform did not answer.
-func (r *Role) look(ctx context.Context, now time.Duration, position int) bool {
-	if r.asked(ctx, now) {
+// checkLease reads the lease and acquires it when it is free. It returns false when
+// the platform did not answer.
+func (r *Role) checkLease(ctx context.Context, now time.Duration, position int) bool {
+	if r.holderConfirms(ctx, now) {
 		return true
 	}
 	object, err := r.Store.Get(ctx, r.Kind, r.Name)
 	if errors.Is(err, platform.ErrNotFound) {
 		if position == 0 || r.Times.Seldom > 0 {
-			r.take(now, 1, func(next record) (platform.Object, error) {
+			r.acquire(now, 1, func(next record) (platform.Object, error) {
 				return r.Store.Create(ctx, r.Kind, r.Name, next)
 			})
 		}
@@ -179,57 +182,58 @@
 		return err == nil
 	}
 	r.observer.RecordRead(now, uint64(object.Version))
-	r.holder = seen.Holder
-	if r.free(now, seen, position) {
-		r.take(now, seen.Epoch+1, func(next record) (platform.Object, error) {
+	r.lastHolder = seen.Holder
+	if r.canAcquire(now, seen, position) {
+		r.acquire(now, seen.Epoch+1, func(next record) (platform.Object, error) {
 			return r.Store.Update(ctx, r.Kind, r.Name, object.Version, next)
 		})
 	}
 	return true
 }
 
-// asked takes the holder's own word. It returns false when that doesn't say that it
-// holds the role.
-func (r *Role) asked(ctx context.Context, now time.Duration) bool {
-	if r.Ask == nil || r.holder.Name == "" || r.holder.Name == r.Self.Name {
+// holderConfirms reports whether the holder itself confirms that it holds the role. If
+// so, it counts as a read of the lease.
+func (r *Role) holderConfirms(ctx context.Context, now time.Duration) bool {
+	if r.Ask == nil || r.lastHolder.Name == "" || r.lastHolder.Name == r.Self.Name {
 		return false
 	}
-	version, held := r.Ask(ctx, r.Name, r.holder)
+	version, held := r.Ask(ctx, r.Name, r.lastHolder)
 	if held {
 		r.observer.RecordRead(now, uint64(version))
 	}
 	return held
 }
 
-// free tells whether the role may be taken. A VM runs one process, so a lease in
-// this VM's own name is its own, or that of a process of it which has ended: after
-// an outage of the platform, a restart or a loss of power it goes on at once. The
-// write is conditional, so another VM that took the role meanwhile keeps it.
-func (r *Role) free(now time.Duration, seen record, position int) bool {
+// canAcquire reports whether this VM may acquire the role. A VM runs one process, so
+// a lease in this VM's name belongs to this process or to an earlier one that has ended.
+// After an outage of the platform, a restart or a power loss the VM can therefore resume
+// the role at once. The write is conditional, so another VM that has acquired the role
+// meanwhile keeps it.
+func (r *Role) canAcquire(now time.Duration, seen record, position int) bool {
 	if seen.Released || seen.Holder.Name == r.Self.Name {
 		return true
 	}
 	return r.observer.UnchangedFor(now) >= r.Times.Lease+time.Duration(position)*r.Times.Interval
 }
 
-func (r *Role) take(now time.Duration, epoch uint64, write func(record) (platform.Object, error)) {
+func (r *Role) acquire(now time.Duration, epoch uint64, write func(record) (platform.Object, error)) {
 	object, err := write(record{Holder: r.Self, Epoch: epoch})
 	if err != nil {
 		r.observer.RecordFailure()
 		return
 	}
-	r.set(func(t *Tenure) {
+	r.updateState(func(t *Tenure) {
 		*t = Tenure{Held: true, Epoch: epoch, Since: r.Now(), Until: now + r.Times.Lease, Version: object.Version}
 	})
 }
 
-// Release gives the role up, so that a successor need not wait for it to lapse.
+// Release gives up the role, so that a successor need not wait for the lease to expire.
 func (r *Role) Release(ctx context.Context) {
 	held := r.Tenure()
 	if !held.Held {
 		return
 	}
-	r.set(func(t *Tenure) { t.Held = false })
-	// Should the write fail, the successor waits for the lease to lapse.
+	r.updateState(func(t *Tenure) { t.Held = false })
+	// If the write fails, the successor waits for the lease to expire.
 	_, _ = r.Store.Update(ctx, r.Kind, r.Name, held.Version, record{Holder: r.Self, Epoch: held.Epoch, Released: true})
 }
--- a/internal/role/role_test.go
+++ b/internal/role/role_test.go
@@ -19,7 +19,7 @@
 	roleInterval = 2 * time.Second
 )
 
-// fakeStore is one object of the platform.
+// fakeStore is a platform with a single object.
 type fakeStore struct {
 	object  platform.Object
 	exists  bool
@@ -61,7 +61,7 @@
 	return f.object, err
 }
 
-// pair is two VMs of a data centre on one clock.
+// pair simulates two VMs of one data centre with a shared clock.
 type pair struct {
 	store *fakeStore
 	now   time.Duration
@@ -80,8 +80,9 @@
 	return p
 }
 
-// pass lets time pass; paused VMs do nothing.
-func (p *pair) pass(d time.Duration, paused ...int) (holders []int) {
+// advance steps the roles of the VMs for a duration, except on a paused VM, and returns
+// the holders at its end.
+func (p *pair) advance(d time.Duration, paused ...int) (holders []int) {
 	for end := p.now + d; p.now < end; p.now += roleInterval {
 		for i, r := range p.roles {
 			if len(paused) == 0 || paused[0] != i {
@@ -97,107 +98,106 @@
 	return holders
 }
 
-// Symptom: two VMs order the same server. Sequence: the holder is paused past
-// its lease; another takes the role; the holder wakes. Cause: the end of the
-// lease not looked at, or the lease taken while it still holds.
+// Guards against two VMs that control the same backend server: the holder is paused past
+// the end of its lease, another VM acquires the role, and the holder resumes without
+// checking the expiry; or the other VM acquires the lease before it has expired.
 func TestPausedHolderLosesTheRoleBeforeAnotherHasIt(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair()
-	g.Expect(p.pass(4 * time.Second)).To(Equal([]int{0}))
+	g.Expect(p.advance(4 * time.Second)).To(Equal([]int{0}))
 	first := p.roles[0].Tenure()
 	for p.now < first.Until {
-		g.Expect(p.pass(roleInterval, 0)).NotTo(ContainElement(1), "the lease still holds")
+		g.Expect(p.advance(roleInterval, 0)).NotTo(ContainElement(1), "the lease has not expired")
 	}
-	g.Expect(p.pass(leaseTime+2*roleInterval, 0)).To(Equal([]int{1}))
-	g.Expect(p.pass(4*time.Second)).To(Equal([]int{1}), "the woken holder finds a new version and gives up")
+	g.Expect(p.advance(leaseTime+2*roleInterval, 0)).To(Equal([]int{1}))
+	g.Expect(p.advance(4*time.Second)).To(Equal([]int{1}), "the resumed holder reads a new version and gives up the role")
 	g.Expect(p.roles[1].Tenure().Epoch).To(Equal(first.Epoch + 1))
 }
 
-// Symptom: the role changes hands at each outage of the platform, or is held
-// twice. Sequence: the platform is down for longer than the lease. Cause: a
-// lease that could not be renewed taken for one that was given up.
-func TestOutageEndsTheTenureAndLetsTheHolderRenewFirst(t *testing.T) {
+// Guards against treating a lease that could not be renewed as given up: during an outage
+// of the platform that outlasts the lease, the role would change holders or be held twice.
+func TestOutageExpiresTheLeaseAndLetsTheHolderRenewFirst(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair()
-	p.pass(4 * time.Second)
+	p.advance(4 * time.Second)
 	p.store.down = true
-	g.Expect(p.pass(2*leaseTime)).To(BeEmpty(), "nobody orders without a lease")
+	g.Expect(p.advance(2*leaseTime)).To(BeEmpty(), "no VM may act without a lease")
 	p.store.down = false
-	g.Expect(p.pass(roleInterval, 0)).To(BeEmpty(), "one reading doesn't show another VM that the lease has lapsed")
-	g.Expect(p.pass(roleInterval)).To(Equal([]int{0}), "the holder goes on at once")
+	g.Expect(p.advance(roleInterval, 0)).To(BeEmpty(), "after a single read another VM can't consider the lease expired")
+	g.Expect(p.advance(roleInterval)).To(Equal([]int{0}), "the holder resumes at once")
 }
 
-// Symptom: no layers are ordered for five seconds after a restart, an outage or a
-// loss of power. Sequence: the holder's process ends; the VM's next one starts.
-// Cause: the lease in its own VM's name is waited out like a stranger's.
-func TestTheNextProcessOfAHoldersVMTakesTheRoleAtOnce(t *testing.T) {
+// Guards against a gap of five seconds in the placement of layers after a restart, an
+// outage or a power loss: the holder's VM starts a new process, which waits for the lease
+// in its own VM's name to expire as if another VM held it.
+func TestRestartedHolderTakesTheRoleAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair()
-	g.Expect(p.pass(4 * time.Second)).To(Equal([]int{0}))
+	g.Expect(p.advance(4 * time.Second)).To(Equal([]int{0}))
 	before := p.roles[0].Tenure()
 	old := p.roles[0]
 	options := old.Options
 	options.Self.Incarnation = "2"
 	p.roles[0] = New(options)
-	g.Expect(p.pass(roleInterval)).To(Equal([]int{0}))
+	g.Expect(p.advance(roleInterval)).To(Equal([]int{0}))
 	g.Expect(p.roles[0].Tenure().Epoch).To(Equal(before.Epoch + 1))
-	// Were the old process there after all, its next renewal would show it that it lost.
+	// If the old process were still running, its next renewal would show that it lost the role.
 	old.Step(context.Background(), p.vms)
 	g.Expect(old.Held()).To(BeFalse())
 }
 
-// Symptom: both VMs give orders after an outage. Sequence: another VM took the
-// role while the former holder was cut off; then the holder is back. Cause: the
-// former holder goes on by its own memory in place of the platform's record.
-func TestAFormerHolderDoesNotTakeTheRoleBack(t *testing.T) {
+// Guards against both VMs acting in the role: another VM acquires the role while the
+// holder is partitioned, and the former holder then trusts its in-memory state instead of
+// the platform's record.
+func TestFormerHolderDoesNotReclaimTheRole(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair()
-	g.Expect(p.pass(4 * time.Second)).To(Equal([]int{0}))
-	g.Expect(p.pass(leaseTime+3*roleInterval, 0)).To(Equal([]int{1}))
-	g.Expect(p.pass(2 * leaseTime)).To(Equal([]int{1}))
+	g.Expect(p.advance(4 * time.Second)).To(Equal([]int{0}))
+	g.Expect(p.advance(leaseTime+3*roleInterval, 0)).To(Equal([]int{1}))
+	g.Expect(p.advance(2 * leaseTime)).To(Equal([]int{1}))
 }
 
-// Symptom: no orders for a while after each planned stop. Sequence: the holder
-// stops as planned. Cause: its lease is waited out though it was given up.
+// Guards against a gap in the role after each planned stop of its holder, if the
+// successor waits for a released lease to expire.
 func TestReleasedRoleIsTakenAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair()
-	p.pass(4 * time.Second)
+	p.advance(4 * time.Second)
 	p.roles[0].Release(context.Background())
-	g.Expect(p.pass(roleInterval, 0)).To(Equal([]int{1}))
+	g.Expect(p.advance(roleInterval, 0)).To(Equal([]int{1}))
 }
 
-// Symptom: the looks of a data centre's VMs at a role that is held are most of the reads
-// of the platform. Cause: each look reads, though the holder could tell. When the holder
-// falls silent, the platform is read, and the role taken, as soon as without its word.
-func TestLooksAtAHeldRoleAskItsHolder(t *testing.T) {
+// Guards against checks of held roles causing most of the reads of the platform: a check
+// must query the holder first. When the holder stops answering, the platform must be read
+// and the role acquired as early as without these queries.
+func TestCheckOfAHeldRoleQueriesItsHolder(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair()
 	ctx := context.Background()
 	holder, other := p.roles[0], p.roles[1]
-	silent, reads := false, 0
+	unresponsive, reads := false, 0
 	counted := &readCounter{fakeStore: p.store, reads: &reads}
 	other.Store = counted
 	other.Ask = func(_ context.Context, role string, vm lease.VM) (history.Version, bool) {
 		g.Expect(role).To(Equal(holder.Name))
 		g.Expect(vm.Name).To(Equal(holder.Self.Name))
 		tenure := holder.Tenure()
-		return tenure.Version, tenure.Held && !silent
+		return tenure.Version, tenure.Held && !unresponsive
 	}
 	for range 10 {
 		holder.Step(ctx, p.vms)
 		other.Step(ctx, p.vms)
 		p.now += roleInterval
 	}
-	g.Expect(reads).To(Equal(1), "the first look finds out who holds it")
-	silent = true
+	g.Expect(reads).To(Equal(1), "the first check reads who holds the role")
+	unresponsive = true
 	lost := p.now
 	for !other.Held() && p.now < lost+time.Minute {
 		other.Step(ctx, p.vms)
 		p.now += roleInterval
 	}
 	g.Expect(other.Held()).To(BeTrue())
-	// Lease, a place in the rank, and two looks.
+	// The lease, one position in the ranking, and two checks.
 	g.Expect(p.now - lost).To(BeNumerically("<=", leaseTime+3*roleInterval))
 }
 
@@ -212,43 +212,43 @@
 	return c.fakeStore.Get(ctx, kind, name)
 }
 
-// Symptom: when all VMs start, each reads every role. Cause: those that don't come first
-// look at once, and then all at the same pace, however many they are.
-func TestVMsThatDoNotComeFirstLookLaterAndTogetherSeldom(t *testing.T) {
+// Guards against every VM reading every role when all VMs start: VMs that aren't
+// candidates must not check at once, and their interval must grow with the number of VMs.
+func TestNonCandidatesCheckLaterAndAtABoundedTotalRate(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair()
-	var many []lease.VM
+	var vms []lease.VM
 	for i := range 40 {
-		many = append(many, lease.VM{Name: fmt.Sprint("vm-", 10+i), DataCentre: "bornova"})
+		vms = append(vms, lease.VM{Name: fmt.Sprint("vm-", 10+i), DataCentre: "bornova"})
 	}
-	ranked := lease.Rank("placement-bornova", "bornova", many)
+	ranked := lease.Rank("placement-bornova", "bornova", vms)
 	reads := 0
-	last := New(Options{
+	nonCandidate := New(Options{
 		Store: &readCounter{fakeStore: p.store, reads: &reads}, Kind: "Lease", Name: "placement-bornova", Self: ranked[39], Candidates: 2,
 		Times: Times{Lease: leaseTime, Interval: roleInterval, Seldom: 7 * time.Second, SeldomPerVM: 500 * time.Millisecond},
 		Now:   func() time.Duration { return p.now },
 	})
-	last.Step(context.Background(), many)
+	nonCandidate.Step(context.Background(), vms)
 	g.Expect(reads).To(BeZero())
 	p.now += 7*time.Second + 20*time.Second
-	last.Step(context.Background(), many)
+	nonCandidate.Step(context.Background(), vms)
 	g.Expect(reads).To(Equal(1))
 	p.now += 20 * time.Second
-	last.Step(context.Background(), many)
+	nonCandidate.Step(context.Background(), vms)
 	g.Expect(reads).To(Equal(1))
 }
 
-// Guards against: a lease that the store lost counts as held, or is never taken anew.
-func TestALeaseThatTheStoreLostIsClaimedAnew(t *testing.T) {
+// Guards against a lease that the store has lost counting as held, or never being acquired again.
+func TestLeaseLostByTheStoreIsAcquiredAgain(t *testing.T) {
 	g := NewWithT(t)
 	p := newPair()
-	g.Expect(p.pass(4 * time.Second)).To(Equal([]int{0}))
+	g.Expect(p.advance(4 * time.Second)).To(Equal([]int{0}))
 	next, err := history.At(1, 1)
 	g.Expect(err).NotTo(HaveOccurred())
 	p.store.exists, p.store.version, p.store.object = false, next, platform.Object{}
-	p.pass(roleInterval)
+	p.advance(roleInterval)
 	g.Expect(p.roles[1].Held()).To(BeFalse())
-	g.Expect(p.pass(2 * roleInterval)).To(Equal([]int{0}))
+	g.Expect(p.advance(2 * roleInterval)).To(Equal([]int{0}))
 	g.Expect(p.store.object.Version.History()).To(BeEquivalentTo(1))
 	g.Expect(p.roles[0].Tenure().Version).To(Equal(p.store.object.Version))
 }
