--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -14,10 +14,9 @@
 	"oleandershunt.example/oleandershunt/internal/loop"
 )
 
-// Symptom: a request whose claim is never answered is never refused. Sequence:
-// the claimer stays silent, and no other event comes to the loop. Cause: a loop
-// that steps the machine on outside events only.
-func TestLoopWakesTheMachine(t *testing.T) {
+// Guards against a loop that steps the machine only on posted events: a request whose
+// claim is never answered would never be refused if no other event arrives.
+func TestLoopSendsTheTicksThatTheMachineSchedules(t *testing.T) {
 	g := NewWithT(t)
 	document := func(kind api.Kind, name, spec string) api.Document {
 		return api.Document{Header: api.Header{Kind: kind, SchemaVersion: api.SchemaV1, Name: name}, Spec: []byte(spec)}
