--- a/internal/schedclock/clock.go
+++ b/internal/schedclock/clock.go
@@ -1,12 +1,12 @@
-// Package schedclock measures time as far as this process was able to run.
+// Package schedclock is a clock that advances only while this process gets enough CPU
+// time to read its sockets.
 //
-// What can go wrong: a VM short of processor time reads its sockets late. By the
-// wall clock every backend server then looks silent, healthy ones are suspected
-// and streams are moved or cut, which adds work to the VM that lacks processor
-// time. One would notice oleandershunt_silences_total and refusals for no_path
-// rise on one VM only, with its processors full. A Clock prevents this: it runs
-// as the wall clock does while the process keeps up with its sockets, and slower
-// when it falls behind.
+// A VM that is starved of CPU time reads its sockets late. By the wall clock, every
+// backend server then appears unresponsive, healthy ones are suspected, and streams are
+// moved or cut, which adds load to the starved VM. The signs are that
+// oleandershunt_silences_total and refusals for no_path rise on a single VM whose CPUs
+// are saturated. A Clock prevents this: it advances like the wall clock while the
+// process keeps up with its sockets, and more slowly when it falls behind.
 package schedclock
 
 import (
@@ -17,46 +17,48 @@
 	"time"
 )
 
-// PulseInterval is the time between the end of a pulse and the next.
+// PulseInterval is the time from the end of one heartbeat to the start of the next.
 const PulseInterval = 20 * time.Millisecond
 
 const (
-	// maxStep is the most that the clock advances from one pulse to the next. An
-	// answer from another server takes several wake-ups here, each as late as a
-	// pulse, so what is above the interval is kept small.
-	maxStep = 25 * time.Millisecond
-	// proofPulses is how many pulses prove that what had arrived has been read.
-	proofPulses = 2
+	// maxAdvance is the most that the clock advances between two heartbeats. Receiving
+	// a response from a backend server takes several wake-ups of this process, each as
+	// late as a heartbeat, so the margin above PulseInterval is kept small.
+	maxAdvance = 25 * time.Millisecond
+	// requiredHeartbeats is how many heartbeats prove that all data that had arrived
+	// before has been read. The first may have been in flight already.
+	requiredHeartbeats = 2
 )
 
-// Clock counts the time during which this process kept up with its sockets. Its
-// methods are safe for concurrent use. A nil Clock is the wall clock.
+// Clock measures the time during which this process kept up with its sockets. Its
+// methods are safe for concurrent use. A nil Clock behaves like the wall clock.
 type Clock struct {
 	start time.Time
-	last  atomic.Pointer[mark]
+	last  atomic.Pointer[snapshot]
 }
 
-// mark is the state at a pulse.
-type mark struct {
-	// at is the wall time since the start, and counted the clock's.
-	at, counted time.Duration
-	// pulses counts the pulses so far.
-	pulses uint64
-	// bounded says that another pulse is due, without which the clock stops.
+// snapshot is the state of a clock at a heartbeat.
+type snapshot struct {
+	// wall is the wall time since the start of the clock, and clock is its own time.
+	wall, clock time.Duration
+	// heartbeats is the number of heartbeats so far.
+	heartbeats uint64
+	// bounded is set while heartbeats are expected: without the next one, the clock
+	// stops after maxAdvance.
 	bounded bool
 }
 
-// New makes a clock that is the wall clock until the first pulse.
+// New returns a clock that behaves like the wall clock until the first heartbeat.
 func New() *Clock {
 	c := &Clock{start: time.Now()}
-	c.last.Store(&mark{})
+	c.last.Store(&snapshot{})
 	return c
 }
 
-// origin of a nil clock.
+// processStart is the start of a nil Clock.
 var processStart = time.Now()
 
-// Now is the time counted.
+// Now returns the time that the clock has measured since its start.
 func (c *Clock) Now() time.Duration {
 	if c == nil {
 		return time.Since(processStart)
@@ -64,44 +66,45 @@
 	return c.last.Load().now(time.Since(c.start))
 }
 
-func (m *mark) now(wall time.Duration) time.Duration {
-	passed := max(wall-m.at, 0)
-	if m.bounded {
-		passed = min(passed, maxStep)
+func (s *snapshot) now(wall time.Duration) time.Duration {
+	elapsed := max(wall-s.wall, 0)
+	if s.bounded {
+		elapsed = min(elapsed, maxAdvance)
 	}
-	return m.counted + passed
+	return s.clock + elapsed
 }
 
-// Pulse says that the process has just kept up. From the first pulse on, the
-// clock stops when no other follows.
+// Pulse records a heartbeat: the process has just kept up with its sockets. From the
+// first heartbeat on, the clock stops when no other follows.
 func (c *Clock) Pulse() { c.set(true) }
 
 func (c *Clock) set(bounded bool) {
 	wall := time.Since(c.start)
 	last := c.last.Load()
-	c.last.Store(&mark{at: wall, counted: last.now(wall), pulses: last.pulses + 1, bounded: bounded})
+	c.last.Store(&snapshot{wall: wall, clock: last.now(wall), heartbeats: last.heartbeats + 1, bounded: bounded})
 }
 
-// Pulses counts the pulses so far.
+// Pulses returns the number of heartbeats so far.
 func (c *Clock) Pulses() uint64 {
 	if c == nil {
 		return 0
 	}
-	return c.last.Load().pulses
+	return c.last.Load().heartbeats
 }
 
-// KeptUpSince tells whether the process has looked at its sockets since there
-// were so many pulses. One pulse more may have been under way by then.
-func (c *Clock) KeptUpSince(pulses uint64) bool {
+// KeptUpSince reports whether the process has read its sockets since Pulses returned
+// the given number of heartbeats.
+func (c *Clock) KeptUpSince(heartbeats uint64) bool {
 	if c == nil {
 		return true
 	}
 	last := c.last.Load()
-	return !last.bounded || last.pulses >= pulses+proofPulses
+	return !last.bounded || last.heartbeats >= heartbeats+requiredHeartbeats
 }
 
-// Run pulses until ctx ends. A pulse is a byte that goes through a pipe and is
-// waited for like the bytes of any socket: it comes as late as they do.
+// Run sends heartbeats until ctx is done. A heartbeat is a byte that is sent through a
+// pipe and read like data from a socket, so it is delayed as much as that data. Run
+// returns ctx.Err(), or the error of the pipe.
 func (c *Clock) Run(ctx context.Context) error {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -109,9 +112,9 @@
 	}
 	defer writer.Close()
 	defer c.set(false)
-	// There is room for the one byte that is under way when Run returns.
-	pulses := make(chan struct{}, 1)
-	go c.receive(reader, pulses)
+	// The buffer takes the byte that may be in flight when Run returns.
+	received := make(chan struct{}, 1)
+	go c.receiveBytes(reader, received)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -120,7 +123,7 @@
 			if _, err := writer.Write([]byte{0}); err != nil {
 				return err
 			}
-		case <-pulses:
+		case <-received:
 			c.Pulse()
 			timer.Reset(PulseInterval)
 		case <-ctx.Done():
@@ -129,32 +132,32 @@
 	}
 }
 
-// receive announces each byte until the writer is closed.
-func (c *Clock) receive(reader *os.File, pulses chan<- struct{}) {
+// receiveBytes signals each byte that it reads, until the writer is closed.
+func (c *Clock) receiveBytes(reader *os.File, received chan<- struct{}) {
 	defer reader.Close()
-	one := make([]byte, 1)
+	buffer := make([]byte, 1)
 	for {
-		if _, err := reader.Read(one); err != nil {
+		if _, err := reader.Read(buffer); err != nil {
 			return
 		}
-		pulses <- struct{}{}
+		received <- struct{}{}
 	}
 }
 
-// WithTimeout is context.WithTimeout by this clock. The context has no
-// deadline; its cause after the time is context.DeadlineExceeded.
+// WithTimeout is like context.WithTimeout but measures the limit by this clock. The
+// context has no deadline; after the limit its cause is context.DeadlineExceeded.
 func (c *Clock) WithTimeout(parent context.Context, limit time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	end := c.Now() + limit
 	var timer *time.Timer
 	timer = time.AfterFunc(math.MaxInt64, func() {
-		left := end - c.Now()
+		remaining := end - c.Now()
 		switch {
 		case ctx.Err() != nil:
-		case left <= 0:
+		case remaining <= 0:
 			cancel(context.DeadlineExceeded)
 		default:
-			timer.Reset(max(left, time.Millisecond))
+			timer.Reset(max(remaining, time.Millisecond))
 		}
 	})
 	timer.Reset(limit)
--- a/internal/schedclock/clock_test.go
+++ b/internal/schedclock/clock_test.go
@@ -10,40 +10,39 @@
 	"oleandershunt.example/oleandershunt/internal/schedclock"
 )
 
-// most is more than a clock may count after its last pulse.
-const most = 30 * time.Millisecond
+// maxOvershoot exceeds the most that a clock may advance after its last heartbeat.
+const maxOvershoot = 30 * time.Millisecond
 
-// Symptom: healthy servers are suspected by one VM. Sequence: the VM gets no
-// processor time for longer than a limit, then looks at the limit before it
-// looks at its sockets. Cause: a limit by the wall clock.
-func TestClockStopsWhileTheProcessDoesNotKeepUp(t *testing.T) {
+// Guards against timeouts by the wall clock: a VM that gets no CPU time for longer than a
+// timeout, and then checks it before it reads its sockets, suspects healthy servers.
+func TestClockStopsWhileTheProcessIsStarved(t *testing.T) {
 	g := NewWithT(t)
 	c := schedclock.New()
 	c.Pulse()
 	stopped := c.Now()
-	ctx, cancel := c.WithTimeout(t.Context(), 2*most)
+	ctx, cancel := c.WithTimeout(t.Context(), 2*maxOvershoot)
 	defer cancel()
-	g.Consistently(ctx.Done(), 10*most).ShouldNot(BeClosed())
-	g.Expect(c.Now() - stopped).To(BeNumerically("<=", most))
+	g.Consistently(ctx.Done(), 10*maxOvershoot).ShouldNot(BeClosed())
+	g.Expect(c.Now() - stopped).To(BeNumerically("<=", maxOvershoot))
 	for range 5 {
-		// A pulse after a pause counts no more of it.
-		time.Sleep(most)
+		// A heartbeat after a pause does not add the rest of the pause.
+		time.Sleep(maxOvershoot)
 		c.Pulse()
 	}
-	g.Expect(c.Now() - stopped).To(BeNumerically("<=", 6*most))
+	g.Expect(c.Now() - stopped).To(BeNumerically("<=", 6*maxOvershoot))
 	g.Eventually(ctx.Done()).Should(BeClosed())
 	g.Expect(context.Cause(ctx)).To(MatchError(context.DeadlineExceeded))
 }
 
-// Symptom: a silent server is never found. Sequence: the process keeps up, or
-// has no pulses at all, as without Run and after it. Cause: a clock that stops
-// for good.
-func TestClockGoesOn(t *testing.T) {
+// Guards against a clock that stops permanently, by which an unresponsive server would
+// never be detected: the clock must advance while the process keeps up, and also without
+// heartbeats, as before and after Run.
+func TestClockKeepsAdvancing(t *testing.T) {
 	for name, begin := range map[string]func(context.Context, *schedclock.Clock){
-		"without pulses": func(context.Context, *schedclock.Clock) {},
-		"running":        func(ctx context.Context, c *schedclock.Clock) { go func() { _ = c.Run(ctx) }() },
-		"after its run": func(ctx context.Context, c *schedclock.Clock) {
-			ctx, cancel := context.WithTimeout(ctx, most)
+		"without heartbeats": func(context.Context, *schedclock.Clock) {},
+		"during Run":         func(ctx context.Context, c *schedclock.Clock) { go func() { _ = c.Run(ctx) }() },
+		"after Run": func(ctx context.Context, c *schedclock.Clock) {
+			ctx, cancel := context.WithTimeout(ctx, maxOvershoot)
 			defer cancel()
 			_ = c.Run(ctx)
 		},
@@ -52,7 +51,7 @@
 			g := NewWithT(t)
 			c := schedclock.New()
 			begin(t.Context(), c)
-			ctx, cancel := c.WithTimeout(t.Context(), 5*most)
+			ctx, cancel := c.WithTimeout(t.Context(), 5*maxOvershoot)
 			defer cancel()
 			g.Eventually(ctx.Done(), "20s").Should(BeClosed())
 			g.Expect(context.Cause(ctx)).To(MatchError(context.DeadlineExceeded))
