--- a/internal/bootclock/bootclock.go
+++ b/internal/bootclock/bootclock.go
@@ -1,9 +1,9 @@
-// Package bootclock is a clock that also counts the time in which the VM was
-// suspended, and that changes of the time of day don't touch.
+// Package bootclock is a monotonic clock that includes the time in which the VM was
+// suspended, and that is unaffected by changes of the wall clock.
 //
-// What can go wrong: a VM that slept for ten seconds believes by the ordinary
-// steady clock, which stood still, that what it knows is fresh. It would accept
-// keys that were taken away meanwhile. CLOCK_BOOTTIME goes on in that time.
+// A VM that was suspended for ten seconds would consider its state fresh by
+// CLOCK_MONOTONIC, which stops during suspension, and would accept API keys that were
+// revoked meanwhile. CLOCK_BOOTTIME continues to advance.
 package bootclock
 
 import (
@@ -12,8 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the VM started. The call fails on no supported system;
-// if it ever did, nothing that is proven by time would be believed any more.
+// Now returns the time since the VM booted. The system call does not fail on any
+// supported system. Now panics if it does, because no lease or freshness check could be
+// trusted without a clock.
 func Now() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
