--- a/internal/core/claim/shard.go
+++ b/internal/core/claim/shard.go
@@ -215,7 +215,7 @@
 func (s *Shard) handleHeadRead(now Time, e HeadRead) {
 	s.reading = false
 	if e.Failed {
-		s.observer.RecordFailure()
+		s.observer.Failed()
 		return
 	}
 	if e.Version < s.version {
@@ -227,7 +227,7 @@
 		s.emit(Notice{Kind: NoticeImplausible, Epoch: e.Head.Epoch, Holder: e.Head.Owner.Name})
 		return
 	}
-	s.observer.RecordRead(e.Sent, e.Version)
+	s.observer.Read(e.Sent, e.Version)
 	mine := e.Version > 0 && sameProcess(e.Head.Owner, s.options.Self)
 	switch {
 	case s.owner != nil && mine && e.Head.Epoch == s.owner.epoch:
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -50,8 +50,8 @@
 	valid          bool
 }
 
-// RecordRead records the version that was returned by a read sent at sent.
-func (o *Observer) RecordRead(sent time.Duration, version uint64) {
+// Read records the version that was returned by a read sent at sent.
+func (o *Observer) Read(sent time.Duration, version uint64) {
 	if o.valid && o.version == version {
 		return
 	}
@@ -60,8 +60,8 @@
 	o.valid = true
 }
 
-// RecordFailure records a failed read.
-func (o *Observer) RecordFailure() { o.valid = false }
+// Failed records a failed read.
+func (o *Observer) Failed() { o.valid = false }
 
 // UnchangedFor returns for how long the record has been unchanged up to the last
 // read, which was sent at sent.
@@ -101,7 +101,7 @@
 	return ranked
 }
 
-// Position returns the index of a VM in ranked, or len(ranked) if it is absent.
+// Position returns the index of a VM in ranked, counted from 0, or len(ranked) if it is absent.
 func Position(ranked []VM, name string) int {
 	for i, vm := range ranked {
 		if vm.Name == name {
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -27,14 +27,14 @@
 func TestFailedReadRestartsTheLeaseTimeout(t *testing.T) {
 	g := NewWithT(t)
 	var observer lease.Observer
-	observer.RecordRead(time.Second, 7)
-	observer.RecordRead(3*time.Second, 7)
+	observer.Read(time.Second, 7)
+	observer.Read(3*time.Second, 7)
 	g.Expect(observer.UnchangedFor(3 * time.Second)).To(Equal(2 * time.Second))
-	observer.RecordFailure()
+	observer.Failed()
 	g.Expect(observer.UnchangedFor(60 * time.Second)).To(BeZero())
-	observer.RecordRead(60*time.Second, 7)
+	observer.Read(60*time.Second, 7)
 	g.Expect(observer.UnchangedFor(60 * time.Second)).To(BeZero())
-	observer.RecordRead(61*time.Second, 8)
+	observer.Read(61*time.Second, 8)
 	g.Expect(observer.UnchangedFor(61 * time.Second)).To(BeZero())
 }
 
--- a/internal/role/role.go
+++ b/internal/role/role.go
@@ -178,10 +178,10 @@
 	}
 	var seen record
 	if err != nil || json.Unmarshal(object.Value, &seen) != nil || !lease.Plausible(r.Tenure().Epoch, seen.Epoch) {
-		r.observer.RecordFailure()
+		r.observer.Failed()
 		return err == nil
 	}
-	r.observer.RecordRead(now, uint64(object.Version))
+	r.observer.Read(now, uint64(object.Version))
 	r.lastHolder = seen.Holder
 	if r.canAcquire(now, seen, position) {
 		r.acquire(now, seen.Epoch+1, func(next record) (platform.Object, error) {
@@ -199,7 +199,7 @@
 	}
 	version, held := r.Ask(ctx, r.Name, r.lastHolder)
 	if held {
-		r.observer.RecordRead(now, uint64(version))
+		r.observer.Read(now, uint64(version))
 	}
 	return held
 }
@@ -219,7 +219,7 @@
 func (r *Role) acquire(now time.Duration, epoch uint64, write func(record) (platform.Object, error)) {
 	object, err := write(record{Holder: r.Self, Epoch: epoch})
 	if err != nil {
-		r.observer.RecordFailure()
+		r.observer.Failed()
 		return
 	}
 	r.updateState(func(t *Tenure) {
