--- a/renames/claim-docs.sh
+++ b/renames/claim-docs.sh
@@ -7,7 +7,7 @@
   -e 's|// Next returns when|// NextTick returns when|' -e 's|// Interval is the minimum|// WriteInterval is the minimum|' \
   -e 's|// Lease is how long an owner|// LeaseDuration is how long an owner|' -e 's|// Poll is the interval|// PollInterval is the interval|' \
   -e 's|// Standbys is the number of standbys|// StandbyCount is the number of standbys|' internal/core/claim/shard.go
-sed -i -E 
+sed -i -E \
   -e 's|// Live lists|// LiveVMs lists|' -e 's|// To is the process|// Standby is the process|' \
   -e 's|// From is the index|// FirstIndex is the index|' internal/core/claim/messages.go
 sed -i -E -e 's|// Seldom is|// BackgroundInterval is|' -e 's|is added to Seldom for|is added to BackgroundInterval for|' \
