--- a/internal/claims/host.go
+++ b/internal/claims/host.go
@@ -77,16 +77,16 @@
 		}
 		now := h.service.now()
 		if want, ok := event.(wanted); ok {
-			shard.Want(now, want.refresh)
+			shard.RecordDemand(now, want.refresh)
 			event = want.Tick
 		}
 		actions := shard.Step(now, event)
 		owner, known := shard.Owner()
-		h.view.Store(&view{owner: owner, known: known, owns: shard.Owns(), holds: shard.Holds(), keys: shard.Keys()})
+		h.view.Store(&view{owner: owner, known: known, owns: shard.Owns(), holds: shard.OwnsOrReleasing(), keys: shard.Keys()})
 		for _, action := range actions {
 			h.carryOut(ctx, action)
 		}
-		timer.Reset(max(shard.Next(now)-h.service.now(), time.Millisecond))
+		timer.Reset(max(shard.NextTick(now)-h.service.now(), time.Millisecond))
 	}
 }
 
@@ -200,5 +200,5 @@
 	if err != nil {
 		return
 	}
-	h.post(ctx, claim.Appended{Standby: request.To, Epoch: request.Epoch, Refused: reply.Refused, End: reply.End})
+	h.post(ctx, claim.Appended{Standby: request.Standby, Epoch: request.Epoch, Refused: reply.Refused, End: reply.End})
 }
--- a/internal/claims/remote.go
+++ b/internal/claims/remote.go
@@ -64,11 +64,11 @@
 		return connect.NewResponse(&claimsv1.AppendResponse{Refused: true}), nil
 	}
 	message := claim.Append{
-		Epoch:     request.Msg.GetEpoch(),
-		Owner:     vmFromWire(request.Msg.GetOwner()),
-		To:        vmFromWire(request.Msg.GetTo()),
-		Confirmed: request.Msg.GetConfirmed(),
-		From:      request.Msg.GetFrom(),
+		Epoch:      request.Msg.GetEpoch(),
+		Owner:      vmFromWire(request.Msg.GetOwner()),
+		Standby:    vmFromWire(request.Msg.GetTo()),
+		Confirmed:  request.Msg.GetConfirmed(),
+		FirstIndex: request.Msg.GetFrom(),
 	}
 	for _, op := range request.Msg.GetOps() {
 		message.Ops = append(message.Ops, opFromWire(op))
@@ -141,7 +141,7 @@
 
 // append asks a standby to hold ops.
 func (s *Service) append(ctx context.Context, shard string, request claim.Append) (claim.AppendReply, error) {
-	client, err := s.client(request.To.Name)
+	client, err := s.client(request.Standby.Name)
 	if err != nil {
 		return claim.AppendReply{}, err
 	}
@@ -149,9 +149,9 @@
 		Shard:     shard,
 		Epoch:     request.Epoch,
 		Owner:     vmToWire(request.Owner),
-		To:        vmToWire(request.To),
+		To:        vmToWire(request.Standby),
 		Confirmed: request.Confirmed,
-		From:      request.From,
+		From:      request.FirstIndex,
 	}
 	for _, op := range request.Ops {
 		message.Ops = append(message.Ops, opToWire(op))
--- a/internal/claims/service.go
+++ b/internal/claims/service.go
@@ -185,7 +185,7 @@
 		}
 	}
 	for _, h := range s.allHosts() {
-		h.post(s.ctx, claim.Live{VMs: live})
+		h.post(s.ctx, claim.LiveVMs{VMs: live})
 	}
 	s.publish()
 }
@@ -260,7 +260,7 @@
 	s.hosts[name] = h
 	options := s.shardOptions(name, home)
 	s.running.Go(func() { h.run(s.ctx, options) })
-	h.events <- claim.Live{VMs: s.live()}
+	h.events <- claim.LiveVMs{VMs: s.live()}
 	if s.stopping {
 		h.events <- claim.Release{}
 	}
@@ -280,23 +280,23 @@
 
 func (s *Service) shardOptions(name, home string) claim.Options {
 	return claim.Options{
-		Shard:             name,
-		Home:              home,
-		Self:              lease.VM{Name: s.self.Name, DataCentre: s.self.DataCentre, Incarnation: s.self.Incarnation},
-		Interval:          s.interval(),
-		Lease:             s.settings.Lease,
-		ClockError:        s.settings.ClockError,
-		OutageLimit:       s.settings.OutageLimit,
-		Retention:         s.settings.Retention,
-		ClaimTimeout:      claimTimeout,
-		GrantValidity:     grantValidity,
-		SlowAfter:         slowAfter,
-		Poll:              pollInterval,
-		Standbys:          s.settings.Standbys,
-		StandbysElsewhere: s.settings.StandbysElsewhere,
-		PageOps:           pageOps,
-		MaxOps:            maxOps,
-		MaxKeys:           s.settings.MaxKeys,
+		Shard:              name,
+		Home:               home,
+		Self:               lease.VM{Name: s.self.Name, DataCentre: s.self.DataCentre, Incarnation: s.self.Incarnation},
+		WriteInterval:      s.interval(),
+		LeaseDuration:      s.settings.Lease,
+		ClockError:         s.settings.ClockError,
+		OutageLimit:        s.settings.OutageLimit,
+		Retention:          s.settings.Retention,
+		ClaimTimeout:       claimTimeout,
+		GrantValidity:      grantValidity,
+		SlowWriteThreshold: slowAfter,
+		PollInterval:       pollInterval,
+		StandbyCount:       s.settings.Standbys,
+		StandbysElsewhere:  s.settings.StandbysElsewhere,
+		PageOps:            pageOps,
+		MaxOps:             maxOps,
+		MaxKeys:            s.settings.MaxKeys,
 	}
 }
 
--- a/internal/configuration/accept.go
+++ b/internal/configuration/accept.go
@@ -145,17 +145,17 @@
 func (a *acceptor) take(n notice) bool {
 	if n.list != nil {
 		a.listed[n.kind] = true
-		return a.view.Listed(n.kind, uint64(n.list.Version), changesOf(n.list.Items), a.base)
+		return a.view.ApplyList(n.kind, uint64(n.list.Version), changesOf(n.list.Items), a.base)
 	}
 	if n.event.Bookmark {
-		a.view.Bookmarked(n.kind, uint64(n.event.Object.Version))
+		a.view.ApplyBookmark(n.kind, uint64(n.event.Object.Version))
 		return false
 	}
 	change := changeOf(n.event.Object)
 	if n.event.Deleted {
 		change.Raw = nil
 	}
-	return a.view.Watched(change, a.base)
+	return a.view.ApplyEvent(change, a.base)
 }
 
 func changesOf(objects []platform.Object) []config.Change {
@@ -233,7 +233,7 @@
 func (a *acceptor) try(ctx context.Context) error {
 	a.rebase()
 	if len(a.view.Changes()) == 0 {
-		a.judged.set(config.Outcome{}, a.view.Seen())
+		a.judged.set(config.AcceptResult{}, a.view.Seen())
 		return nil
 	}
 	release, objectVersion, err := a.newestRelease(ctx)
@@ -242,7 +242,7 @@
 	}
 	a.rebase()
 	changes := a.view.Changes()
-	outcome, err := config.Accept(config.Attempt{
+	outcome, err := config.Accept(config.AcceptInput{
 		InForce:  a.base,
 		Release:  release,
 		Changes:  changes,
--- a/internal/configuration/index_test.go
+++ b/internal/configuration/index_test.go
@@ -29,7 +29,7 @@
 	p.from.platform = platform.NewClient(store.URL(), platform.WithVM("accepts"), platform.WithBudget(1e6, 1e6))
 	a := &acceptor{Manager: p.from}
 	inForce, _ := a.store.current()
-	outcome := config.Outcome{Release: &inForce.release, Set: inForce.set, NewPages: append(inForce.set.Pages(), indexesOf(inForce.release)...)}
+	outcome := config.AcceptResult{Release: &inForce.release, Set: inForce.set, NewPages: append(inForce.set.Pages(), indexesOf(inForce.release)...)}
 	g.Expect(indexesOf(inForce.release)).NotTo(BeEmpty())
 	g.Expect(a.publish(tb.Context(), api.Release{}, 0, outcome)).To(Succeed())
 	return store, a
--- a/internal/configuration/judged.go
+++ b/internal/configuration/judged.go
@@ -22,7 +22,7 @@
 
 // set takes the outcome of an attempt, and returns the verdicts that are new
 // and hold a record up.
-func (j *judged) set(outcome config.Outcome, seen map[api.Kind]uint64) []api.RecordStatus {
+func (j *judged) set(outcome config.AcceptResult, seen map[api.Kind]uint64) []api.RecordStatus {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var fresh []api.RecordStatus
@@ -40,7 +40,7 @@
 		j.records = append(j.records, status)
 	}
 	j.held = held
-	j.standing = outcome.Standing
+	j.standing = outcome.PreexistingViolations
 	j.seen = maps.Clone(seen)
 	j.known = true
 	return fresh
--- a/internal/configuration/loading.go
+++ b/internal/configuration/loading.go
@@ -72,7 +72,7 @@
 func (l *loading) lacking(hashes []string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.DeleteFunc(hashes, func(hash string) bool { return !l.loader.Lacks(hash) })
+	return slices.DeleteFunc(hashes, func(hash string) bool { return !l.loader.IsMissing(hash) })
 }
 
 // add decodes a page, unless another reader's release is in force by now.
--- a/internal/configuration/offer.go
+++ b/internal/configuration/offer.go
@@ -46,7 +46,7 @@
 // judge decides on a release that is offered, and adopts it where it is newer.
 func (m *Manager) judge(ctx context.Context, release api.Release, source config.Source, adopt func(inForce version) error) error {
 	inForce, _ := m.store.current()
-	switch config.Judge(inForce.release, release, source) {
+	switch config.DecideRelease(inForce.release, release, source) {
 	case config.Adopt:
 		return adopt(inForce)
 	case config.Implausible:
--- a/internal/configuration/pair_test.go
+++ b/internal/configuration/pair_test.go
@@ -70,7 +70,7 @@
 		p.nextVersion++
 	}
 	last := changes[len(changes)-1]
-	out, err := config.Accept(config.Attempt{
+	out, err := config.Accept(config.AcceptInput{
 		InForce: inForce.set, Release: inForce.release, Changes: changes,
 		Seen: map[api.Kind]uint64{last.Kind: last.Version}, By: "from", At: "2026-12-02T12:00:00Z",
 	})
--- a/internal/configuration/platform_bench_test.go
+++ b/internal/configuration/platform_bench_test.go
@@ -39,7 +39,7 @@
 		tb.Fatal(err)
 	}
 	inForce, _ := a.store.current()
-	outcome, err := config.Accept(config.Attempt{
+	outcome, err := config.Accept(config.AcceptInput{
 		InForce: inForce.set, Release: release, Changes: []config.Change{change},
 		Seen: map[api.Kind]uint64{change.Kind: change.Version}, By: "accepts", At: "2026-12-02T12:00:00Z",
 	})
@@ -77,7 +77,7 @@
 	watches := idleManager(peer.Member{Name: "watches", DataCentre: "a"})
 	watches.platform, watched = countedClient(store, "watches")
 	inForce, _ := p.from.store.current()
-	outcome := config.Outcome{Release: &inForce.release, Set: inForce.set, NewPages: append(inForce.set.Pages(), indexesOf(inForce.release)...)}
+	outcome := config.AcceptResult{Release: &inForce.release, Set: inForce.set, NewPages: append(inForce.set.Pages(), indexesOf(inForce.release)...)}
 	if err := accepts.publish(b.Context(), api.Release{}, 0, outcome); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/configuration/publish.go
+++ b/internal/configuration/publish.go
@@ -47,7 +47,7 @@
 // publish writes the new pages, keeps the release that is replaced, and writes
 // the next one on condition that the platform still has the one it was made
 // from. Nothing is in force until that last write.
-func (a *acceptor) publish(ctx context.Context, former api.Release, objectVersion history.Version, outcome config.Outcome) error {
+func (a *acceptor) publish(ctx context.Context, former api.Release, objectVersion history.Version, outcome config.AcceptResult) error {
 	for _, ref := range outcome.NewPages {
 		value, _ := outcome.Set.PageValue(ref)
 		if err := a.writePage(ctx, ref.Hash, value); err != nil {
@@ -119,7 +119,7 @@
 	if err := json.Unmarshal(object.Value, &current); err != nil {
 		return writeErr
 	}
-	if err := config.Settle(ours, current); err != nil {
+	if err := config.ConfirmWritten(ours, current); err != nil {
 		return fmt.Errorf("%w: %w", err, writeErr)
 	}
 	return nil
--- a/internal/core/admit/accounts.go
+++ b/internal/core/admit/accounts.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// SetUsage sets the other VMs' request rates by account, and the number of VMs
+// SetRemoteRates sets the other VMs' request rates by account, and the number of VMs
 // that serve callers, including this one.
-func (c *Controller) SetUsage(now time.Duration, liveVMs int, remoteRates map[string]float64) {
+func (c *Controller) SetRemoteRates(now time.Duration, liveVMs int, remoteRates map[string]float64) {
 	c.SetLiveVMs(liveVMs)
 	c.accounts.remoteRates = remoteRates
 	c.accounts.remoteRatesAt = now
--- a/internal/core/admit/admit.go
+++ b/internal/core/admit/admit.go
@@ -78,9 +78,9 @@
 	// PromptTokens and MaxTokens serve to estimate the work. 0 if unknown.
 	PromptTokens int
 	MaxTokens    int
-	// Again is true if the request already took a token of its account's rate
+	// RateCharged is true if the request already took a token of its account's rate
 	// limit.
-	Again bool
+	RateCharged bool
 }
 
 // Decision is the result of Offer.
@@ -91,8 +91,8 @@
 	Reason request.Reason
 	// RetryAfter is when a refused request may be admitted.
 	RetryAfter time.Duration
-	// Wait is the estimated time in the queue. 0 if unknown.
-	Wait time.Duration
+	// EstimatedWait is the estimated time in the queue. 0 if unknown.
+	EstimatedWait time.Duration
 	// Evicted are queued requests that were removed from a full queue because
 	// their account fills more than its share of it. They are refused as
 	// overloaded.
@@ -145,7 +145,7 @@
 // request that starts or is queued.
 func (c *Controller) Offer(now time.Duration, offered Item, limits Limits) Decision {
 	account := c.accounts.touch(now, offered.Account, limits)
-	if !offered.Again {
+	if !offered.RateCharged {
 		if wait := account.takeToken(now, c.accounts.share(now, account)); wait > 0 {
 			return Decision{Reason: request.ReasonRateLimited, RetryAfter: wait}
 		}
@@ -172,7 +172,7 @@
 	if refuse, retryAfter := p.missesDeadline(now, wait, r.Deadline); refuse {
 		return Decision{Reason: request.ReasonOverloaded, RetryAfter: retryAfter}
 	}
-	decision := Decision{Wait: wait}
+	decision := Decision{EstimatedWait: wait}
 	if p.queued >= c.options.MaxQueued {
 		longest := p.longestFlow()
 		if !longest.longerThan(r.flow) {
@@ -216,9 +216,9 @@
 	c.pools[r.Pool].finish(now, r, tokens, learn)
 }
 
-// Next starts queued requests while slots are free, in the order of fair
+// StartQueued starts queued requests while slots are free, in the order of fair
 // queueing, and returns them.
-func (c *Controller) Next(now time.Duration, poolName string) []request.ID {
+func (c *Controller) StartQueued(now time.Duration, poolName string) []request.ID {
 	p, ok := c.pools[poolName]
 	if !ok {
 		return nil
@@ -243,8 +243,8 @@
 	return max(p.estimateWait(now, f), minRetryAfter)
 }
 
-// Report handles a backend server's own count of running and waiting streams.
-func (c *Controller) Report(now time.Duration, poolName, server string, running, waiting int) {
+// ReportLoad handles a backend server's own count of running and waiting streams.
+func (c *Controller) ReportLoad(now time.Duration, poolName, server string, running, waiting int) {
 	if p, ok := c.pools[poolName]; ok {
 		p.limiter.report(now, server, running, waiting)
 	}
--- a/internal/core/admit/admit_bench_test.go
+++ b/internal/core/admit/admit_bench_test.go
@@ -43,7 +43,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				c.Done(now, running[0], 20, true)
-				running = append(running[1:], c.Next(now, pool)...)
+				running = append(running[1:], c.StartQueued(now, pool)...)
 				offer(i, ids[i])
 			}
 		})
--- a/internal/core/admit/admit_test.go
+++ b/internal/core/admit/admit_test.go
@@ -99,10 +99,10 @@
 	l.engine.completeUntil(now, func(at time.Duration, id request.ID) {
 		l.done++
 		if l.reportsLoad {
-			l.controller.Report(at, pool, "s1", len(l.engine.running), len(l.engine.waiting))
+			l.controller.ReportLoad(at, pool, "s1", len(l.engine.running), len(l.engine.waiting))
 		}
 		l.controller.Done(at, id, l.engine.tokens, true)
-		for _, next := range l.controller.Next(at, pool) {
+		for _, next := range l.controller.StartQueued(at, pool) {
 			l.begin(at, next)
 		}
 	})
@@ -234,7 +234,7 @@
 		total += rates[i]
 	}
 	for i, vm := range vms {
-		vm.SetUsage(now, len(vms), map[string]float64{"a": total - rates[i]})
+		vm.SetRemoteRates(now, len(vms), map[string]float64{"a": total - rates[i]})
 	}
 }
 
@@ -294,7 +294,7 @@
 			work[accounts[id]] += tokens[accounts[id]]
 		}
 		c.Done(now, id, tokens[accounts[id]], true)
-		running = append(running, c.Next(now, pool)...)
+		running = append(running, c.StartQueued(now, pool)...)
 	}
 	g.Expect(float64(work["heavy"]) / float64(work["light"])).To(BeNumerically("~", 3, 0.3))
 }
--- a/internal/core/backends/backends.go
+++ b/internal/core/backends/backends.go
@@ -33,14 +33,14 @@
 	Draining bool
 	// Slots is the number of requests that the server runs concurrently.
 	Slots int
-	// Holds are the ranges of layers that the server has loaded.
-	Holds []Held
+	// LayerRanges are the ranges of layers that the server has loaded.
+	LayerRanges []LayerRange
 	// Revision is the version of the entry in the platform. It grows with each write.
 	Revision history.Version
 }
 
-// Held is a range of layers of one version of the weights.
-type Held struct {
+// LayerRange is a range of layers of one version of the weights.
+type LayerRange struct {
 	Layers  api.Layers
 	Version int
 }
@@ -89,8 +89,8 @@
 	Running int
 }
 
-// Plus returns the sum of two usages.
-func (u Usage) Plus(other Usage) Usage {
+// Add returns the sum of two usages.
+func (u Usage) Add(other Usage) Usage {
 	return Usage{Memory: u.Memory + other.Memory, Running: u.Running + other.Running}
 }
 
@@ -103,7 +103,7 @@
 	// departed are the servers that are leaving or have left. Without it an old list or a late
 	// event could show such a server as ready, and it would get requests while it stops.
 	departed map[string]departureRecord
-	// newDepartures are the departures since the last call of News.
+	// newDepartures are the departures since the last call of TakeDepartures.
 	newDepartures []Departure
 	// platformUpAt is when the platform became available again after an outage.
 	platformUpAt time.Duration
@@ -142,35 +142,37 @@
 	}
 }
 
-// Serve sets the services of the configuration in force.
-func (f *Fleet) Serve(services []string) {
+// SetServices sets the services of the configuration in force.
+func (f *Fleet) SetServices(services []string) {
 	f.services = make(map[string]bool, len(services))
 	for _, service := range services {
 		f.services[service] = true
 	}
 }
 
-// Heard sets the usage by all other VMs, by server, and the number of VMs that it includes.
-func (f *Fleet) Heard(loads map[string]Usage, vms int) { f.remoteUsage, f.remoteVMs = loads, vms }
+// SetRemoteUsage sets the usage by all other VMs, by server, and the number of VMs that it includes.
+func (f *Fleet) SetRemoteUsage(loads map[string]Usage, vms int) {
+	f.remoteUsage, f.remoteVMs = loads, vms
+}
 
-// Live sets the number of live VMs, this one included.
-func (f *Fleet) Live(vms int) { f.liveVMs = vms }
+// SetLiveVMs sets the number of live VMs, this one included.
+func (f *Fleet) SetLiveVMs(vms int) { f.liveVMs = vms }
 
 // unreachableTTL is how long a data centre counts as unreachable after a report: a little longer
 // than the interval of the reports.
 const unreachableTTL = 600 * time.Millisecond
 
-// Unreached sets the data centres that are currently unreachable. Their servers get no new
+// SetUnreachable sets the data centres that are currently unreachable. Their servers get no new
 // requests.
-func (f *Fleet) Unreached(now time.Duration, dataCentres []string) {
+func (f *Fleet) SetUnreachable(now time.Duration, dataCentres []string) {
 	clear(f.unreachableUntil)
 	for _, dataCentre := range dataCentres {
 		f.unreachableUntil[dataCentre] = now + unreachableTTL
 	}
 }
 
-// Loads returns what this VM's requests use, by server, to be published to the other VMs.
-func (f *Fleet) Loads() map[string]Usage {
+// PublishUsage returns what this VM's requests use, by server, to be published to the other VMs.
+func (f *Fleet) PublishUsage() map[string]Usage {
 	loads := make(map[string]Usage)
 	for id, s := range f.servers {
 		s.publishedUsage = s.localUsage
@@ -197,11 +199,11 @@
 	return f.memoryUsed(s) + max(s.localUsage.Memory-s.publishedUsage.Memory, 0)*float64(max(f.remoteVMs, f.liveVMs-1))
 }
 
-// Outage records that the platform doesn't answer this VM.
-func (f *Fleet) Outage() { f.platformDown = true }
+// SetPlatformDown records that the platform doesn't answer this VM.
+func (f *Fleet) SetPlatformDown() { f.platformDown = true }
 
-// Back records that the platform answers again.
-func (f *Fleet) Back(now time.Duration) {
+// SetPlatformUp records that the platform answers again.
+func (f *Fleet) SetPlatformUp(now time.Duration) {
 	if f.platformDown {
 		f.platformDown, f.platformUpAt = false, now
 	}
@@ -292,15 +294,15 @@
 	}
 }
 
-// Tidy deletes the servers whose missing entries didn't come back in time, and forgets departures
+// RemoveExpired deletes the servers whose missing entries didn't come back in time, and forgets departures
 // after departureTTL.
-func (f *Fleet) Tidy(now time.Duration) {
+func (f *Fleet) RemoveExpired(now time.Duration) {
 	for id, s := range f.servers {
 		if s.missingRevision > 0 && !f.platformDown && now >= f.platformUpAt+ExpiryGrace {
 			f.dropServer(now, Departure{ID: id, Revision: s.missingRevision})
 		}
 	}
-	f.pauses.Tidy(now)
+	f.pauses.RemoveExpired(now)
 	f.reinstateAfterRestore(now)
 	for id, departure := range f.departed {
 		if _, present := f.servers[id]; !present && now > departure.at+departureTTL {
@@ -326,8 +328,8 @@
 	fullBackoffReset = time.Second
 )
 
-// Full records that a server just rejected a request for lack of capacity.
-func (f *Fleet) Full(now time.Duration, id string) {
+// MarkFull records that a server just rejected a request for lack of capacity.
+func (f *Fleet) MarkFull(now time.Duration, id string) {
 	s, ok := f.servers[id]
 	if !ok || now < s.fullUntil {
 		return
@@ -351,9 +353,9 @@
 // if it is the only one with its layers.
 const minVMsForRemoteFull = 40
 
-// FullNow returns the servers that currently count as full because they rejected this VM's
+// FullServers returns the servers that currently count as full because they rejected this VM's
 // requests, with their backoff, to be published to the other VMs.
-func (f *Fleet) FullNow(now time.Duration) map[string]time.Duration {
+func (f *Fleet) FullServers(now time.Duration) map[string]time.Duration {
 	full := make(map[string]time.Duration)
 	for id, s := range f.servers {
 		if now < s.fullUntil {
@@ -363,7 +365,7 @@
 	return full
 }
 
-// HeardFull records the servers that rejected other VMs' requests for lack of capacity, with their
+// MarkRemoteFull records the servers that rejected other VMs' requests for lack of capacity, with their
 // backoff. spread, from 0 to 1, differs between VMs, so that they retry one after the other and few
 // requests are rejected before all VMs learn that the server is still full.
 //
@@ -371,7 +373,7 @@
 // server behind it, or when it leaves during a platform outage. Without sharing, each VM would be
 // rejected before it chooses another server, and again after each backoff, and each rejection costs
 // a retry.
-func (f *Fleet) HeardFull(now time.Duration, spans map[string]time.Duration, spread float64) {
+func (f *Fleet) MarkRemoteFull(now time.Duration, spans map[string]time.Duration, spread float64) {
 	if f.remoteVMs+1 < minVMsForRemoteFull {
 		return
 	}
@@ -396,26 +398,26 @@
 
 // requestCapacity is the memory for requests beside the weights of a range of layers, in tokens
 // times layers.
-func (s *serverState) requestCapacity(engine *routes.Engine, held Held) float64 {
-	return engine.Room(engine.Cards[s.Card], held.Layers.Len())
+func (s *serverState) requestCapacity(engine *routes.Engine, held LayerRange) float64 {
+	return engine.RequestCapacity(engine.Cards[s.Card], held.Layers.Len())
 }
 
-// Used returns the fraction of a server's memory for requests that is in use, as far as this VM
+// MemoryUtilisation returns the fraction of a server's memory for requests that is in use, as far as this VM
 // knows.
-func (f *Fleet) Used(engine *routes.Engine, id string) float64 {
+func (f *Fleet) MemoryUtilisation(engine *routes.Engine, id string) float64 {
 	s, ok := f.servers[id]
-	if !ok || engine == nil || len(s.Holds) == 0 {
+	if !ok || engine == nil || len(s.LayerRanges) == 0 {
 		return 0
 	}
-	capacity := s.requestCapacity(engine, s.Holds[0])
+	capacity := s.requestCapacity(engine, s.LayerRanges[0])
 	if capacity <= 0 {
 		return 0
 	}
 	return f.memoryUsed(s) / capacity
 }
 
-// Known returns a server by its ID, or false if it is gone.
-func (f *Fleet) Known(id string) (Server, bool) {
+// Server returns a server by its ID, or false if it is gone.
+func (f *Fleet) Server(id string) (Server, bool) {
 	s, ok := f.servers[id]
 	if !ok {
 		return Server{}, false
@@ -447,8 +449,8 @@
 	Memory float64
 }
 
-// Begin adds a request's load to its servers.
-func (f *Fleet) Begin(load Load) {
+// AddLoad adds a request's load to its servers.
+func (f *Fleet) AddLoad(load Load) {
 	f.requestCount++
 	if s, ok := f.servers[load.First]; ok {
 		s.lastRequest = f.requestCount
@@ -456,8 +458,8 @@
 	f.applyLoad(load, 1)
 }
 
-// End removes a request's load from its servers.
-func (f *Fleet) End(load Load) { f.applyLoad(load, -1) }
+// RemoveLoad removes a request's load from its servers.
+func (f *Fleet) RemoveLoad(load Load) { f.applyLoad(load, -1) }
 
 func (f *Fleet) applyLoad(load Load, sign int) {
 	// The usage never drops below 0: a server that was gone and is back starts at 0, while requests
@@ -474,7 +476,7 @@
 
 // isEligible reports whether a server may get a new request.
 func (f *Fleet) isEligible(now time.Duration, s *serverState, request Request) bool {
-	if len(request.Only) > 0 && !slices.Contains(request.Only, s.ID) {
+	if len(request.Allowed) > 0 && !slices.Contains(request.Allowed, s.ID) {
 		return false
 	}
 	if s.DataCentre != request.DataCentre && now < f.unreachableUntil[s.DataCentre] {
--- a/internal/core/backends/backends_test.go
+++ b/internal/core/backends/backends_test.go
@@ -15,7 +15,7 @@
 
 func service() routes.Service {
 	return routes.Service{Name: "llm", Engine: &routes.Engine{
-		Layers: 80, LayerMB: 1750, TokenBytes: 918_000, Step: time.Millisecond, ReadPerSecond: 105_000, Prompt: 800, Answer: 200,
+		Layers: 80, LayerMB: 1750, TokenBytes: 918_000, Step: time.Millisecond, ReadPerSecond: 105_000, TypicalPrompt: 800, TypicalAnswer: 200,
 		Cards: map[string]routes.Card{"fast": {MB: 72_000, Pace: 2.4, Read: 3.2}, "slow": {MB: 72_000, Pace: 16, Read: 8}},
 	}}
 }
@@ -23,7 +23,7 @@
 func server(id, dataCentre, card string, from, to int) backends.Server {
 	return backends.Server{
 		ID: id, Name: id, Service: "llm", Address: id + ":1", DataCentre: dataCentre, Card: card,
-		Holds: []backends.Held{{Layers: api.Layers{From: from, To: to}, Version: 1}},
+		LayerRanges: []backends.LayerRange{{Layers: api.Layers{From: from, To: to}, Version: 1}},
 	}
 }
 
@@ -75,13 +75,13 @@
 		{ID: "p1", Service: "plain", DataCentre: "b", Slots: 6},
 	}, 1)
 	g.Expect(path(g, f, request())).To(Equal("s3[0,40) s4[40,80)"))
-	f.Unreached(0, []string{"a", "b"})
+	f.SetUnreachable(0, []string{"a", "b"})
 	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s2[40,80)"), "the VM's own data centre is always reachable")
 	_, err := f.Instance(0, "plain", request())
 	g.Expect(errors.Is(err, backends.ErrNoServer)).To(BeTrue())
 	_, err = f.Instance(time.Second, "plain", request())
 	g.Expect(err).NotTo(HaveOccurred(), "the report has expired")
-	f.Unreached(0, nil)
+	f.SetUnreachable(0, nil)
 	g.Expect(path(g, f, request())).To(Equal("s3[0,40) s4[40,80)"))
 }
 
@@ -94,16 +94,16 @@
 		server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 40, 80), server("s3", "a", "fast", 40, 80),
 	}, 1)
 	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s2[40,80)"))
-	f.Heard(map[string]backends.Usage{"s2": {Memory: 160_000}}, 1)
+	f.SetRemoteUsage(map[string]backends.Usage{"s2": {Memory: 160_000}}, 1)
 	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s3[40,80)"))
-	f.Heard(map[string]backends.Usage{"s2": {Memory: 900_000}}, 1)
-	f.Full(0, "s3")
+	f.SetRemoteUsage(map[string]backends.Usage{"s2": {Memory: 900_000}}, 1)
+	f.MarkFull(0, "s3")
 	_, err := f.Path(0, service(), request())
 	g.Expect(err).To(MatchError(backends.ErrFull), "no path has capacity")
 	forced := request()
-	forced.Force = true
+	forced.IgnoreCapacity = true
 	g.Expect(path(g, f, forced)).To(HavePrefix("s1[0,40) "))
-	f.Heard(nil, 0)
+	f.SetRemoteUsage(nil, 0)
 	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s2[40,80)"))
 }
 
@@ -121,11 +121,11 @@
 	g := NewWithT(t)
 	f := backends.New()
 	f.Replace(0, []backends.Server{server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 40, 80)}, 1)
-	f.Full(0, "s2")
+	f.MarkFull(0, "s2")
 	_, err := f.Path(0, service(), request())
 	g.Expect(errors.Is(err, backends.ErrFull)).To(BeTrue())
 	forced := request()
-	forced.Force = true
+	forced.IgnoreCapacity = true
 	g.Expect(path(g, f, forced)).To(Equal("s1[0,40) s2[40,80)"))
 	f.Remove(0, "s2", 1)
 	_, err = f.Path(0, service(), request())
@@ -141,14 +141,14 @@
 	g := NewWithT(t)
 	f := backends.New()
 	f.Put(0, server("s1", "a", "fast", 0, 80))
-	f.Leave(0, backends.Departure{ID: "s1"})
+	f.ApplyDeparture(0, backends.Departure{ID: "s1"})
 	f.Put(time.Second, server("s1", "a", "fast", 0, 80))
 	g.Expect(f.Servers("llm")).To(BeEmpty())
-	g.Expect(f.News()).To(BeEmpty(), "another VM already published it")
+	g.Expect(f.TakeDepartures()).To(BeEmpty(), "another VM already published it")
 	f.Put(time.Second, server("s2", "a", "fast", 0, 80))
 	f.Remove(time.Second, "s2", 1)
-	g.Expect(f.News()).To(Equal([]backends.Departure{{ID: "s2", Revision: 1}}))
-	g.Expect(f.News()).To(BeEmpty())
+	g.Expect(f.TakeDepartures()).To(Equal([]backends.Departure{{ID: "s2", Revision: 1}}))
+	g.Expect(f.TakeDepartures()).To(BeEmpty())
 }
 
 // Guards against requests that are refused with 421 for two seconds after a platform outage: a
@@ -157,8 +157,8 @@
 	g := NewWithT(t)
 	f := backends.New()
 	f.Put(0, server("old", "a", "fast", 0, 80))
-	f.Outage()
-	f.Back(time.Second)
+	f.SetPlatformDown()
+	f.SetPlatformUp(time.Second)
 	f.Remove(time.Second, "old", 1)
 	g.Expect(f.Servers("llm")).To(HaveLen(1), "the entry may only have expired")
 	again := server("new", "a", "fast", 0, 80)
@@ -179,7 +179,7 @@
 		f := backends.New()
 		f.Replace(0, list, 10)
 		g.Expect(f.Servers("llm")).To(Equal([]backends.Server{again}))
-		g.Expect(f.News()).To(BeEmpty())
+		g.Expect(f.TakeDepartures()).To(BeEmpty())
 	}
 }
 
@@ -190,20 +190,20 @@
 	f := backends.New()
 	f.Replace(0, []backends.Server{server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 0, 40), server("s3", "a", "fast", 40, 80)}, 1)
 	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s3[40,80)"))
-	f.Paced(time.Second, "s1", 4)
-	f.Paced(time.Second, "s3", 1)
+	f.SetPace(time.Second, "s1", 4)
+	f.SetPace(time.Second, "s3", 1)
 	at := func(now time.Duration) string {
 		choice, err := f.Path(now, service(), request())
 		g.Expect(err).NotTo(HaveOccurred())
 		return choice.Path.String()
 	}
 	g.Expect(at(time.Second)).To(Equal("s2[0,40) s3[40,80)"))
-	g.Expect(f.Paces(time.Second, time.Second)).To(Equal(map[string]float64{"s1": 4}))
-	g.Expect(f.Slow(3*time.Second, time.Second)).To(HaveLen(1), "a slow server is due to be asked again")
-	f.Paced(3*time.Second, "s1", 1)
+	g.Expect(f.PacesToPublish(time.Second, time.Second)).To(Equal(map[string]float64{"s1": 4}))
+	g.Expect(f.SlowServers(3*time.Second, time.Second)).To(HaveLen(1), "a slow server is due to be asked again")
+	f.SetPace(3*time.Second, "s1", 1)
 	g.Expect(at(3 * time.Second)).To(Equal("s1[0,40) s3[40,80)"))
-	g.Expect(f.Paces(3*time.Second, time.Second)).To(Equal(map[string]float64{"s1": 1}), "other VMs still count it as slow")
-	g.Expect(f.Slow(5*time.Second, time.Second)).To(BeEmpty())
+	g.Expect(f.PacesToPublish(3*time.Second, time.Second)).To(Equal(map[string]float64{"s1": 1}), "other VMs still count it as slow")
+	g.Expect(f.SlowServers(5*time.Second, time.Second)).To(BeEmpty())
 }
 
 // Guards against a range of layers staying uncovered for two seconds after a platform outage: a
@@ -213,18 +213,18 @@
 	g := NewWithT(t)
 	f := backends.New()
 	f.Replace(time.Second, []backends.Server{server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 40, 80)}, 1)
-	f.Dark(2*time.Second, "s1", 4*time.Second)
-	g.Expect(f.IsDark(3*time.Second, "s1")).To(BeTrue())
-	f.Outage()
-	g.Expect(f.IsDark(8*time.Second, "s1")).To(BeFalse(), "this VM still has its entry")
-	f.Back(12 * time.Second)
+	f.MarkUnresponsive(2*time.Second, "s1", 4*time.Second)
+	g.Expect(f.IsUnresponsive(3*time.Second, "s1")).To(BeTrue())
+	f.SetPlatformDown()
+	g.Expect(f.IsUnresponsive(8*time.Second, "s1")).To(BeFalse(), "this VM still has its entry")
+	f.SetPlatformUp(12 * time.Second)
 	f.Replace(12*time.Second, nil, 9)
-	g.Expect(f.IsDark(12*time.Second, "s1")).To(BeTrue())
-	g.Expect(f.IsDark(12*time.Second, "s2")).To(BeFalse())
+	g.Expect(f.IsUnresponsive(12*time.Second, "s1")).To(BeTrue())
+	g.Expect(f.IsUnresponsive(12*time.Second, "s2")).To(BeFalse())
 	again := server("s1", "a", "fast", 0, 40)
 	again.Revision = 12
 	f.Put(13*time.Second, again)
-	g.Expect(f.IsDark(13*time.Second, "s1")).To(BeFalse(), "its entry was written again")
+	g.Expect(f.IsUnresponsive(13*time.Second, "s1")).To(BeFalse(), "its entry was written again")
 }
 
 // Guards against a server counting as slow for ever because two VMs keep forwarding each other's
@@ -233,8 +233,8 @@
 	g := NewWithT(t)
 	f := backends.New()
 	f.Put(0, server("s1", "a", "fast", 0, 80))
-	f.HeardPace(time.Second, "s1", 4)
-	g.Expect(f.Paces(time.Second, time.Second)).To(BeEmpty())
+	f.SetRemotePace(time.Second, "s1", 4)
+	g.Expect(f.PacesToPublish(time.Second, time.Second)).To(BeEmpty())
 	g.Expect(f.Pace(time.Second, "s1")).To(Equal(4.0))
 	g.Expect(f.Pace(10*time.Second, "s1")).To(Equal(1.0), "the pace has expired")
 }
@@ -251,18 +251,18 @@
 			server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 40, 80),
 			server("t1", "a", "slow", 0, 20), server("t2", "a", "slow", 20, 40), server("t3", "a", "slow", 40, 60), server("t4", "a", "slow", 60, 80),
 		}, 1)
-		fleets[i].Heard(nil, len(fleets)-1)
+		fleets[i].SetRemoteUsage(nil, len(fleets)-1)
 	}
 	slow := 0
 	for _, f := range fleets {
-		f.Loads()
+		f.PublishUsage()
 		for range 12 {
 			choice, err := f.Path(0, service(), request())
 			if errors.Is(err, backends.ErrFull) {
 				break
 			}
 			g.Expect(err).NotTo(HaveOccurred())
-			f.Begin(choice.Load(1000))
+			f.AddLoad(choice.Load(1000))
 			if choice.First.Card == "slow" {
 				slow++
 			}
@@ -280,7 +280,7 @@
 	first, err := f.Path(0, service(), backends.Request{DataCentre: "a", Prompt: 800, Answer: 200, Avoid: []string{"s2"}})
 	g.Expect(err).NotTo(HaveOccurred())
 	moved := request()
-	moved.Keep, moved.Avoid, moved.Force = &first.Path[0], []string{"s3"}, true
+	moved.FixedFirst, moved.Avoid, moved.IgnoreCapacity = &first.Path[0], []string{"s3"}, true
 	g.Expect(path(g, f, moved)).To(Equal("s1[0,40) s4[40,80)"))
 }
 
@@ -299,9 +299,9 @@
 	again.Revision = 12
 	f.Put(5*time.Second, again)
 	g.Expect(f.Servers("llm")).To(HaveLen(1))
-	f.Leave(6*time.Second, backends.Departure{ID: "s1", Revision: 9})
+	f.ApplyDeparture(6*time.Second, backends.Departure{ID: "s1", Revision: 9})
 	g.Expect(f.Servers("llm")).To(HaveLen(1), "the departure is older than the entry")
-	f.Leave(6*time.Second, backends.Departure{ID: "s1", Revision: 20})
+	f.ApplyDeparture(6*time.Second, backends.Departure{ID: "s1", Revision: 20})
 	g.Expect(f.Servers("llm")).To(BeEmpty())
 }
 
--- a/internal/core/backends/choose.go
+++ b/internal/core/backends/choose.go
@@ -23,12 +23,12 @@
 	Prompt, Answer float64
 	// Avoid lists servers that failed this request.
 	Avoid []string
-	// Only, if set, lists the servers that may run the request.
-	Only []string
-	// Keep is the part that the path must begin with, or nil for any.
-	Keep *chain.Part
-	// Force allows paths through servers without free capacity.
-	Force bool
+	// Allowed, if set, lists the servers that may run the request.
+	Allowed []string
+	// FixedFirst is the part that the path must begin with, or nil for any.
+	FixedFirst *chain.Part
+	// IgnoreCapacity allows paths through servers without free capacity.
+	IgnoreCapacity bool
 	// Version is the required version of the weights. 0 means any.
 	Version int
 	// ignoreRateLimits ignores the servers' request rate limits.
@@ -44,12 +44,12 @@
 	// Path covers all layers; nil for a plain service.
 	Path    chain.Path
 	Version int
-	// Taken is the number of requests that First already had from all VMs, as far as this VM knows.
-	Taken int
+	// RequestsOnFirst is the number of requests that First already had from all VMs, as far as this VM knows.
+	RequestsOnFirst int
 }
 
-// Queues reports whether the request was expected to wait for a slot of its first server.
-func (c Choice) Queues() bool { return c.First.Slots > 0 && c.Taken >= c.First.Slots }
+// WaitsForSlot reports whether the request was expected to wait for a slot of its first server.
+func (c Choice) WaitsForSlot() bool { return c.First.Slots > 0 && c.RequestsOnFirst >= c.First.Slots }
 
 // Load returns the load of a request of so many tokens on the servers of the choice.
 func (c Choice) Load(tokens float64) Load {
@@ -75,9 +75,9 @@
 	}
 }
 
-// At returns the ID of the choice's server at an address, or false if there is none. It doesn't
+// ServerAt returns the ID of the choice's server at an address, or false if there is none. It doesn't
 // look the address up in the list, since another process may use it by now.
-func (c Choice) At(address string) (string, bool) {
+func (c Choice) ServerAt(address string) (string, bool) {
 	if address == c.First.Address {
 		return c.First.ID, true
 	}
@@ -131,15 +131,15 @@
 		return choice, nil
 	}
 	forced := request
-	forced.Force = true
-	if _, ok := f.choosePath(now, service, forced); ok && !request.Force {
+	forced.IgnoreCapacity = true
+	if _, ok := f.choosePath(now, service, forced); ok && !request.IgnoreCapacity {
 		return Choice{}, ErrFull
 	}
 	if err := f.deferral(now, service, request); err != nil {
 		return Choice{}, err
 	}
-	if !request.Force {
-		return Choice{}, ErrNoServer // the caller tries again with Force and discards this error
+	if !request.IgnoreCapacity {
+		return Choice{}, ErrNoServer // the caller tries again with IgnoreCapacity and discards this error
 	}
 	return Choice{}, fmt.Errorf("%w: layers %s of service %s have no holder", ErrNoServer, f.uncoveredLayers(now, service, request), service.Name)
 }
@@ -152,7 +152,7 @@
 			continue
 		}
 		if first, ok := f.servers[path[0].ID]; ok {
-			return Choice{First: first.Server, Path: path, Version: version, Taken: f.expectedRunning(first)}, true
+			return Choice{First: first.Server, Path: path, Version: version, RequestsOnFirst: f.expectedRunning(first)}, true
 		}
 	}
 	return Choice{}, false
@@ -170,10 +170,10 @@
 	holders := f.holders(now, service, version, request)
 	from, dataCentre := 0, request.DataCentre
 	var prefix chain.Path
-	if request.Keep != nil {
-		prefix, from = chain.Path{*request.Keep}, request.Keep.Layers.To
-		holders = slices.DeleteFunc(holders, func(h chain.Holder) bool { return h.ID == request.Keep.ID })
-		if s, ok := f.servers[request.Keep.ID]; ok {
+	if request.FixedFirst != nil {
+		prefix, from = chain.Path{*request.FixedFirst}, request.FixedFirst.Layers.To
+		holders = slices.DeleteFunc(holders, func(h chain.Holder) bool { return h.ID == request.FixedFirst.ID })
+		if s, ok := f.servers[request.FixedFirst.ID]; ok {
 			dataCentre = s.DataCentre
 		}
 	}
@@ -186,7 +186,7 @@
 }
 
 // hasCapacity reports whether a server has capacity for a request, as far as this VM knows.
-func (f *Fleet) hasCapacity(now time.Duration, s *serverState, engine *routes.Engine, held Held, request Request) bool {
+func (f *Fleet) hasCapacity(now time.Duration, s *serverState, engine *routes.Engine, held LayerRange, request Request) bool {
 	memory := (request.Prompt + request.Answer) * float64(held.Layers.Len())
 	return !s.isFull(now) && f.memoryUsed(s)+memory <= overcommitFactor*s.requestCapacity(engine, held)
 }
@@ -198,7 +198,7 @@
 	}
 	var versions []int
 	for _, s := range f.servers {
-		for _, held := range s.Holds {
+		for _, held := range s.LayerRanges {
 			if s.Service == service && !slices.Contains(versions, held.Version) {
 				versions = append(versions, held.Version)
 			}
@@ -215,11 +215,11 @@
 		if s.Service != service.Name || !f.isEligible(now, s, request) || !service.Engine.HasCard(s.Card) {
 			continue
 		}
-		for _, held := range s.Holds {
+		for _, held := range s.LayerRanges {
 			if held.Version != version || held.Layers.Len() <= 0 {
 				continue
 			}
-			if !request.Force && !f.hasCapacity(now, s, service.Engine, held, request) {
+			if !request.IgnoreCapacity && !f.hasCapacity(now, s, service.Engine, held, request) {
 				continue
 			}
 			holders = append(holders, chain.Holder{
@@ -240,10 +240,10 @@
 
 // layerCost is the time in milliseconds that a request spends in one layer on a server, plus the
 // time that it adds to the other requests there.
-func (f *Fleet) layerCost(now time.Duration, s *serverState, engine *routes.Engine, held Held, request Request) float64 {
+func (f *Fleet) layerCost(now time.Duration, s *serverState, engine *routes.Engine, held LayerRange, request Request) float64 {
 	card := engine.Cards[s.Card]
-	batch := f.expectedMemory(s) / engine.Usual() / float64(held.Layers.Len())
-	base := requestMillis(engine, card, engine.StepFor((1+batchDelayWeight)*batch), request) / float64(engine.Layers)
+	batch := f.expectedMemory(s) / engine.TypicalTokens() / float64(held.Layers.Len())
+	base := requestMillis(engine, card, engine.StepTime((1+batchDelayWeight)*batch), request) / float64(engine.Layers)
 	return base * s.currentPace(now) * f.memoryFactor(now, s, s.requestCapacity(engine, held))
 }
 
@@ -301,7 +301,7 @@
 // while the others are idle.
 func (f *Fleet) Instance(now time.Duration, service string, request Request) (Choice, error) {
 	if best := f.leastLoaded(now, service, request); best != nil {
-		return Choice{First: best.Server, Taken: f.expectedRunning(best)}, nil
+		return Choice{First: best.Server, RequestsOnFirst: f.expectedRunning(best)}, nil
 	}
 	if err := f.deferral(now, routes.Service{Name: service}, request); err != nil {
 		return Choice{}, err
--- a/internal/core/backends/departures.go
+++ b/internal/core/backends/departures.go
@@ -74,9 +74,9 @@
 	f.recordDeparture(now, departure)
 }
 
-// SaysLeaving records that a server announced its own departure. Its process never returns from
+// MarkLeaving records that a server announced its own departure. Its process never returns from
 // that, whatever its entry says. It reports whether that is new.
-func (f *Fleet) SaysLeaving(now time.Duration, id string) bool {
+func (f *Fleet) MarkLeaving(now time.Duration, id string) bool {
 	previous, known := f.departed[id]
 	f.recordDeparture(now, Departure{ID: id})
 	if s, ok := f.servers[id]; ok {
@@ -98,16 +98,16 @@
 	f.departed[departure.ID] = departureRecord{at: now, revision: departure.Revision}
 }
 
-// News returns the departures found since the last call, for VMs that don't watch the platform.
-func (f *Fleet) News() []Departure {
+// TakeDepartures returns the departures found since the last call, for VMs that don't watch the platform.
+func (f *Fleet) TakeDepartures() []Departure {
 	departures := f.newDepartures
 	f.newDepartures = nil
 	return departures
 }
 
-// Leave applies another VM's report of a departure, unless this VM has read a newer entry of the
+// ApplyDeparture applies another VM's report of a departure, unless this VM has read a newer entry of the
 // server.
-func (f *Fleet) Leave(now time.Duration, departure Departure) {
+func (f *Fleet) ApplyDeparture(now time.Duration, departure Departure) {
 	beforeRestore := departure.Revision > 0 && departure.Revision.History() < f.restoreVersion.History()
 	if beforeRestore {
 		departure.Revision = f.restoreVersion
--- a/internal/core/backends/health.go
+++ b/internal/core/backends/health.go
@@ -14,9 +14,9 @@
 	minSlowPace = 1.3
 )
 
-// Dark records that another server gets no response from this one. For a span, placement treats it
+// MarkUnresponsive records that another server gets no response from this one. For a span, placement treats it
 // as holding no layers.
-func (f *Fleet) Dark(now time.Duration, id string, span time.Duration) {
+func (f *Fleet) MarkUnresponsive(now time.Duration, id string, span time.Duration) {
 	if s, ok := f.servers[id]; ok {
 		s.unresponsiveUntil = max(s.unresponsiveUntil, now+span)
 	}
@@ -26,10 +26,10 @@
 // is missing. It is longer than most outages of the platform.
 const unresponsiveTTL = 15 * time.Second
 
-// IsDark reports whether a server counts as lost: other servers get no response from it, or got
+// IsUnresponsive reports whether a server counts as lost: other servers get no response from it, or got
 // none before the platform outage in which its entry expired. Most entries that expire in an outage
 // come back, but there is no reason to expect that of this one.
-func (f *Fleet) IsDark(now time.Duration, id string) bool {
+func (f *Fleet) IsUnresponsive(now time.Duration, id string) bool {
 	s, ok := f.servers[id]
 	if !ok {
 		return false
@@ -37,17 +37,17 @@
 	return now < s.unresponsiveUntil || (s.missingRevision > 0 && s.unresponsiveUntil > 0 && now < s.unresponsiveUntil+unresponsiveTTL)
 }
 
-// Paced records the pace that a server reported to this VM: how many times as long as usual it
+// SetPace records the pace that a server reported to this VM: how many times as long as usual it
 // takes.
-func (f *Fleet) Paced(now time.Duration, id string, pace float64) {
+func (f *Fleet) SetPace(now time.Duration, id string, pace float64) {
 	if s, ok := f.servers[id]; ok {
 		s.sharePace = pace >= minSlowPace || s.pace >= minSlowPace
 		s.pace, s.paceUpdatedAt, s.paceReportedAt = pace, now, now
 	}
 }
 
-// HeardPace records the pace of a server that another VM reported.
-func (f *Fleet) HeardPace(now time.Duration, id string, pace float64) {
+// SetRemotePace records the pace of a server that another VM reported.
+func (f *Fleet) SetRemotePace(now time.Duration, id string, pace float64) {
 	if s, ok := f.servers[id]; ok {
 		s.pace, s.paceUpdatedAt = pace, now
 	}
@@ -70,9 +70,9 @@
 	return max(s.pace, 1)
 }
 
-// Slow returns the servers that were slow when last asked, if that is longer ago than age, without
+// SlowServers returns the servers that were slow when last asked, if that is longer ago than age, without
 // those that asked for a pause.
-func (f *Fleet) Slow(now, age time.Duration) []Server {
+func (f *Fleet) SlowServers(now, age time.Duration) []Server {
 	var slow []Server
 	for _, s := range f.servers {
 		if s.currentPace(now) >= minSlowPace && now > s.paceUpdatedAt+age && !f.pauses.Active(now, s.ID) {
@@ -82,10 +82,10 @@
 	return slow
 }
 
-// Paces returns the paces of slow or formerly slow servers that were reported to this VM within a
+// PacesToPublish returns the paces of slow or formerly slow servers that were reported to this VM within a
 // span, to be published to the other VMs. Paces learnt from other VMs are not forwarded: a report
 // that circulates would keep a server slow for ever.
-func (f *Fleet) Paces(now, span time.Duration) map[string]float64 {
+func (f *Fleet) PacesToPublish(now, span time.Duration) map[string]float64 {
 	paces := make(map[string]float64)
 	for id, s := range f.servers {
 		if s.sharePace && now < s.paceReportedAt+span {
--- a/internal/core/backends/histories.go
+++ b/internal/core/backends/histories.go
@@ -15,8 +15,8 @@
 	missedHeartbeats = 4
 )
 
-// Signs sets the time between two heartbeats of a server. 0 keeps the current value.
-func (f *Fleet) Signs(every time.Duration) {
+// SetHeartbeatInterval sets the time between two heartbeats of a server. 0 keeps the current value.
+func (f *Fleet) SetHeartbeatInterval(every time.Duration) {
 	if every > 0 {
 		f.heartbeatInterval = every
 	}
--- a/internal/core/backends/histories_test.go
+++ b/internal/core/backends/histories_test.go
@@ -12,7 +12,7 @@
 
 // versionOf returns the version for a revision of a history.
 func versionOf(number, revision uint64) history.Version {
-	version, err := history.At(number, revision)
+	version, err := history.NewVersion(number, revision)
 	if err != nil {
 		panic(err)
 	}
@@ -37,7 +37,7 @@
 func TestDepartedServerStaysDepartedAfterARestore(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
-	f.Signs(time.Second)
+	f.SetHeartbeatInterval(time.Second)
 	f.Replace(0, []backends.Server{plainServer("gone", "1:1", versionOf(1, 3)), plainServer("cut", "2:1", versionOf(1, 4)), plainServer("s1", "3:1", versionOf(1, 5))}, versionOf(1, 9))
 	f.Remove(0, "gone", versionOf(1, 20))
 	f.Remove(0, "cut", versionOf(1, 21))
@@ -49,7 +49,7 @@
 	f.Put(2*time.Second, plainServer("cut", "2:1", versionOf(2, 15)))
 	g.Expect(readyIDs(f)).To(Equal([]string{"cut", "s1"}), "its entry was written in the new history")
 	f.Remove(3*time.Second, "gone", versionOf(2, 16))
-	f.Tidy(20 * time.Second)
+	f.RemoveExpired(20 * time.Second)
 	g.Expect(readyIDs(f)).To(Equal([]string{"cut", "s1"}))
 }
 
@@ -57,13 +57,13 @@
 func TestEntryThatOutlastsMissedHeartbeatsAfterARestoreIsReinstated(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
-	f.Signs(time.Second)
+	f.SetHeartbeatInterval(time.Second)
 	f.Replace(0, []backends.Server{plainServer("s1", "1:1", versionOf(1, 3))}, versionOf(1, 9))
 	f.Remove(0, "s1", versionOf(1, 20))
 	f.Replace(time.Second, []backends.Server{plainServer("s1", "1:1", versionOf(2, 3))}, versionOf(2, 12))
-	f.Tidy(4 * time.Second)
+	f.RemoveExpired(4 * time.Second)
 	g.Expect(readyIDs(f)).To(BeEmpty())
-	f.Tidy(6 * time.Second)
+	f.RemoveExpired(6 * time.Second)
 	g.Expect(readyIDs(f)).To(Equal([]string{"s1"}))
 }
 
@@ -76,7 +76,7 @@
 	f.Replace(0, []backends.Server{plainServer("s1", "1:1", versionOf(1, 3))}, versionOf(1, 9))
 	f.Put(0, leaving)
 	f.Replace(time.Second, []backends.Server{plainServer("s1", "1:1", versionOf(2, 3))}, versionOf(2, 12))
-	f.Tidy(time.Minute)
+	f.RemoveExpired(time.Minute)
 	g.Expect(readyIDs(f)).To(BeEmpty())
 }
 
@@ -88,7 +88,7 @@
 	f.Replace(time.Second, []backends.Server{plainServer("old", "1:1", versionOf(2, 3))}, versionOf(2, 5))
 	g.Expect(readyIDs(f)).To(Equal([]string{"dead", "new", "old"}))
 	f.Put(2*time.Second, plainServer("new", "2:1", versionOf(2, 6)))
-	f.Tidy(time.Second + backends.ExpiryGrace)
+	f.RemoveExpired(time.Second + backends.ExpiryGrace)
 	g.Expect(readyIDs(f)).To(Equal([]string{"new", "old"}))
 }
 
@@ -101,7 +101,7 @@
 	g.Expect(readyIDs(f)).To(Equal([]string{"later"}))
 	f.Put(2*time.Second, plainServer("later", "1:1", versionOf(2, 21)))
 	f.Remove(3*time.Second, "former", versionOf(2, 22))
-	f.Tidy(time.Minute)
+	f.RemoveExpired(time.Minute)
 	g.Expect(readyIDs(f)).To(Equal([]string{"later"}))
 }
 
@@ -109,13 +109,13 @@
 func TestDepartureFromFormerHistoryOverridesRestoredEntry(t *testing.T) {
 	g := NewWithT(t)
 	f := backends.New()
-	f.Signs(time.Second)
+	f.SetHeartbeatInterval(time.Second)
 	f.Replace(0, []backends.Server{plainServer("s1", "1:1", versionOf(1, 3)), plainServer("s2", "2:1", versionOf(1, 4))}, versionOf(1, 9))
 	f.Replace(time.Second, []backends.Server{plainServer("s1", "1:1", versionOf(2, 3)), plainServer("s2", "2:1", versionOf(2, 4))}, versionOf(2, 7))
 	f.Put(time.Second, plainServer("s2", "2:1", versionOf(2, 8)))
-	f.Leave(2*time.Second, backends.Departure{ID: "s1", Revision: versionOf(1, 30)})
-	f.Leave(2*time.Second, backends.Departure{ID: "s2", Revision: versionOf(1, 31)})
+	f.ApplyDeparture(2*time.Second, backends.Departure{ID: "s1", Revision: versionOf(1, 30)})
+	f.ApplyDeparture(2*time.Second, backends.Departure{ID: "s2", Revision: versionOf(1, 31)})
 	g.Expect(readyIDs(f)).To(Equal([]string{"s2"}), "the entry of s2 was written after the restore")
-	f.Tidy(7 * time.Second)
+	f.RemoveExpired(7 * time.Second)
 	g.Expect(readyIDs(f)).To(Equal([]string{"s1", "s2"}))
 }
--- a/internal/core/backends/index_test.go
+++ b/internal/core/backends/index_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		f := New()
-		f.Serve([]string{"app"})
+		f.SetServices([]string{"app"})
 		some := rapid.IntRange(0, 4)
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now := time.Duration(step) * time.Second
--- a/internal/core/backends/instance_test.go
+++ b/internal/core/backends/instance_test.go
@@ -25,7 +25,7 @@
 			id := fmt.Sprint("p", i)
 			f.Put(0, backends.Server{ID: id, Service: "app", Address: id + ":1", DataCentre: "a", Slots: 6})
 		}
-		f.Heard(nil, vms-1)
+		f.SetRemoteUsage(nil, vms-1)
 		fleets = append(fleets, f)
 	}
 	sent := make(map[string]int)
@@ -39,8 +39,8 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		sent[choice.First.ID]++
 		load := choice.Load(0)
-		f.Begin(load)
-		ends[now+stay] = append(ends[now+stay], func() { f.End(load) })
+		f.AddLoad(load)
+		ends[now+stay] = append(ends[now+stay], func() { f.RemoveLoad(load) })
 	}
 	t.Logf("%v", sent)
 	for id, n := range sent {
--- a/internal/core/backends/limits.go
+++ b/internal/core/backends/limits.go
@@ -23,8 +23,8 @@
 	return fmt.Sprintf("servers of service %q are at the request rates that they set, of which this VM has %.2f a second: let more servers take requests", e.Service, e.PerSecond)
 }
 
-// Due implements Deferral.
-func (e *LimitError) Due(ahead int) (time.Duration, bool) {
+// RetryAfter implements Deferral.
+func (e *LimitError) RetryAfter(ahead int) (time.Duration, bool) {
 	if e.PerSecond <= 0 {
 		return 0, false
 	}
@@ -36,38 +36,40 @@
 	return e.PerSecond > 0 && e.Wait <= paused.Wait
 }
 
-// SaidRate records the rate limit that a server set in its answer to a request sent at the given
+// SetRateLimit records the rate limit that a server set in its answer to a request sent at the given
 // time. It reports whether that is new.
-func (f *Fleet) SaidRate(now, sent time.Duration, id string, perSecond float64) bool {
+func (f *Fleet) SetRateLimit(now, sent time.Duration, id string, perSecond float64) bool {
 	s, ok := f.servers[id]
-	return ok && f.rateLimits.Said(now, sent, id, s.DataCentre, perSecond)
+	return ok && f.rateLimits.ObserveAnswer(now, sent, id, s.DataCentre, perSecond)
 }
 
-// HeardRates records the rate limits of servers that other VMs reported.
-func (f *Fleet) HeardRates(now time.Duration, limits map[string]ratelimit.Word) {
+// SetRemoteRateLimits records the rate limits of servers that other VMs reported.
+func (f *Fleet) SetRemoteRateLimits(now time.Duration, limits map[string]ratelimit.Report) {
 	for id, limit := range limits {
 		if s, ok := f.servers[id]; ok {
-			f.rateLimits.Heard(now, id, s.DataCentre, limit)
+			f.rateLimits.MergeReport(now, id, s.DataCentre, limit)
 		}
 	}
 }
 
-// Rates returns the rate limits to be published to the other VMs.
-func (f *Fleet) Rates(now time.Duration) map[string]ratelimit.Word { return f.rateLimits.Words(now) }
+// RateLimits returns the rate limits to be published to the other VMs.
+func (f *Fleet) RateLimits(now time.Duration) map[string]ratelimit.Report {
+	return f.rateLimits.Reports(now)
+}
 
-// Members sets this VM and all live VMs, which share the rate limits.
-func (f *Fleet) Members(now time.Duration, self string, vms []lease.VM) {
-	f.rateLimits.Live(now, self, vms)
+// SetMembers sets this VM and all live VMs, which share the rate limits.
+func (f *Fleet) SetMembers(now time.Duration, self string, vms []lease.VM) {
+	f.rateLimits.SetLiveVMs(now, self, vms)
 }
 
-// Limited reports whether a server sets a rate limit.
-func (f *Fleet) Limited(id string) bool { return f.rateLimits.Word(id).Limited() }
+// HasRateLimit reports whether a server sets a rate limit.
+func (f *Fleet) HasRateLimit(id string) bool { return f.rateLimits.Report(id).Limited() }
 
-// Sent counts a request that is sent to the servers of a choice.
-func (f *Fleet) Sent(now time.Duration, choice Choice) {
-	f.rateLimits.Sent(now, choice.First.ID)
+// CountSent counts a request that is sent to the servers of a choice.
+func (f *Fleet) CountSent(now time.Duration, choice Choice) {
+	f.rateLimits.RecordSent(now, choice.First.ID)
 	for id := range choice.serverIDs() {
-		f.pauses.Sent(now, id)
+		f.pauses.RecordSent(now, id)
 	}
 }
 
@@ -87,7 +89,7 @@
 		if s.Service != service.Name || !s.canBeFirst(service.Engine) || !f.isEligible(now, s, request) {
 			continue
 		}
-		wait, share := f.rateLimits.Next(now, id)
+		wait, share := f.rateLimits.NextSend(now, id)
 		if share > 0 && (err.PerSecond == 0 || wait < err.Wait) {
 			err.Wait = wait
 		}
@@ -102,7 +104,7 @@
 	if engine == nil {
 		return true
 	}
-	for _, held := range s.Holds {
+	for _, held := range s.LayerRanges {
 		if held.Layers.From == 0 && held.Layers.Len() > 0 {
 			return true
 		}
--- a/internal/core/backends/limits_test.go
+++ b/internal/core/backends/limits_test.go
@@ -19,8 +19,8 @@
 	f.Replace(0, []backends.Server{
 		server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 40, 80), server("s3", "a", "slow", 0, 40),
 	}, 1)
-	f.Members(0, "vm-1", []lease.VM{{Name: "vm-1", DataCentre: "a"}})
-	g.Expect(f.SaidRate(0, 0, "s1", 1)).To(BeTrue())
+	f.SetMembers(0, "vm-1", []lease.VM{{Name: "vm-1", DataCentre: "a"}})
+	g.Expect(f.SetRateLimit(0, 0, "s1", 1)).To(BeTrue())
 	return f
 }
 
@@ -33,7 +33,7 @@
 	choice, err := f.Path(now, service(), request())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.First.ID).To(Equal("s1"), "the rate limit allows the next request")
-	f.Sent(now, choice)
+	f.CountSent(now, choice)
 	choice, err = f.Path(now, service(), request())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(choice.First.ID).To(Equal("s3"))
@@ -46,14 +46,14 @@
 	f.Remove(0, "s3", 9)
 	for _, force := range []bool{false, true} {
 		r := request()
-		r.Force = force
+		r.IgnoreCapacity = force
 		_, err := f.Path(0, service(), r)
 		limited := new(backends.LimitError)
 		g.Expect(errors.As(err, &limited)).To(BeTrue(), "%v", err)
-		due, known := limited.Due(0)
+		due, known := limited.RetryAfter(0)
 		g.Expect(known).To(BeTrue())
 		g.Expect(due).To(BeNumerically("~", 1100*time.Millisecond, 50*time.Millisecond))
-		later, _ := limited.Due(2)
+		later, _ := limited.RetryAfter(2)
 		g.Expect(later - due).To(BeNumerically("~", 2200*time.Millisecond, 100*time.Millisecond))
 	}
 	f.Remove(0, "s2", 10)
@@ -68,16 +68,16 @@
 	f := backends.New()
 	plain := backends.Server{ID: "p1", Service: "app", Address: "p1:1", DataCentre: "a", Slots: 4}
 	f.Put(0, plain)
-	f.Members(0, "vm-1", []lease.VM{{Name: "vm-1", DataCentre: "a"}})
-	f.HeardRates(0, map[string]ratelimit.Word{"p1": {PerSecond: 1}, "gone": {PerSecond: 1}})
+	f.SetMembers(0, "vm-1", []lease.VM{{Name: "vm-1", DataCentre: "a"}})
+	f.SetRemoteRateLimits(0, map[string]ratelimit.Report{"p1": {PerSecond: 1}, "gone": {PerSecond: 1}})
 	_, err := f.Instance(0, "app", request())
 	limited := new(backends.LimitError)
 	g.Expect(errors.As(err, &limited)).To(BeTrue(), "%v", err)
 	_, err = f.Instance(2*time.Second, "app", request())
 	g.Expect(err).NotTo(HaveOccurred())
-	f.Members(0, "vm-1", []lease.VM{{Name: "vm-2", DataCentre: "a"}})
+	f.SetMembers(0, "vm-1", []lease.VM{{Name: "vm-2", DataCentre: "a"}})
 	_, err = f.Instance(2*time.Second, "app", request())
 	g.Expect(errors.As(err, &limited)).To(BeTrue(), "%v", err)
-	_, known := limited.Due(0)
+	_, known := limited.RetryAfter(0)
 	g.Expect(known).To(BeFalse(), "other VMs have the whole rate")
 }
--- a/internal/core/backends/pauses.go
+++ b/internal/core/backends/pauses.go
@@ -12,9 +12,9 @@
 // now.
 type Deferral interface {
 	error
-	// Due returns the time until a request with so many others ahead of it may be sent, or false if
+	// RetryAfter returns the time until a request with so many others ahead of it may be sent, or false if
 	// that isn't known.
-	Due(ahead int) (time.Duration, bool)
+	RetryAfter(ahead int) (time.Duration, bool)
 }
 
 // PauseError is returned if all suitable servers asked this VM for a pause.
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("servers of service %q asked for a pause of which %v are left: find why they turn requests away, or let more servers take them", e.Service, e.Wait)
 }
 
-// Due implements Deferral.
-func (e *PauseError) Due(int) (time.Duration, bool) { return e.Wait, true }
+// RetryAfter implements Deferral.
+func (e *PauseError) RetryAfter(int) (time.Duration, bool) { return e.Wait, true }
 
 // Pause records that a server asked this VM to send no requests for a span, and reports whether
 // that is new. Other VMs learn that the server is full, for no longer than any full server, since
@@ -42,15 +42,15 @@
 		s.fullBackoff = min(span, maxFullBackoff)
 		s.fullUntil = max(s.fullUntil, now+s.fullBackoff)
 	}
-	return f.pauses.Ask(now, id, span)
+	return f.pauses.RequestPause(now, id, span)
 }
 
 // Paused reports whether a server currently wants no requests from this VM.
 func (f *Fleet) Paused(now time.Duration, id string) bool { return f.pauses.Active(now, id) }
 
-// Wanted reports whether all servers of a choice still accept a request: none has left since or
+// Usable reports whether all servers of a choice still accept a request: none has left since or
 // asked for a pause.
-func (f *Fleet) Wanted(now time.Duration, choice Choice) bool {
+func (f *Fleet) Usable(now time.Duration, choice Choice) bool {
 	for id := range choice.serverIDs() {
 		if s, ok := f.servers[id]; !ok || s.Draining || f.pauses.Active(now, id) {
 			return false
@@ -59,21 +59,21 @@
 	return true
 }
 
-// Took records that the servers of a choice accepted a request sent at the given time.
-func (f *Fleet) Took(now, sent time.Duration, choice Choice) {
+// MarkAccepted records that the servers of a choice accepted a request sent at the given time.
+func (f *Fleet) MarkAccepted(now, sent time.Duration, choice Choice) {
 	for id := range choice.serverIDs() {
-		f.pauses.Took(now, sent, id)
+		f.pauses.RecordAccepted(now, sent, id)
 	}
 }
 
 // isPaused reports whether a server must not get requests of this VM yet.
 func (f *Fleet) isPaused(now time.Duration, id string, request Request) bool {
-	return f.pauses.Until(id) > max(now, request.pausesAsOf)
+	return f.pauses.NextSend(id) > max(now, request.pausesAsOf)
 }
 
 // pauseError returns the error for a request that only pauses prevent from being sent now, or nil.
 func (f *Fleet) pauseError(now time.Duration, service routes.Service, request Request) *PauseError {
-	ends := f.pauses.Ends(now, func(id string) bool {
+	ends := f.pauses.SendTimes(now, func(id string) bool {
 		s, ok := f.servers[id]
 		return ok && s.Service == service.Name
 	})
@@ -90,7 +90,7 @@
 
 // isFeasible reports whether a request could be sent if no server were full or at its rate limit.
 func (f *Fleet) isFeasible(now time.Duration, service routes.Service, request Request) bool {
-	request.Force, request.ignoreRateLimits = true, true
+	request.IgnoreCapacity, request.ignoreRateLimits = true, true
 	if service.Engine == nil {
 		return f.leastLoaded(now, service.Name, request) != nil
 	}
--- a/internal/core/backends/pauses_test.go
+++ b/internal/core/backends/pauses_test.go
@@ -26,11 +26,11 @@
 func TestPausedServerIsAvoidedByEveryKindOfAttempt(t *testing.T) {
 	kinds := map[string]func(*backends.Request){
 		"first":            func(*backends.Request) {},
-		"without capacity": func(r *backends.Request) { r.Force = true },
-		"repeat":           func(r *backends.Request) { r.Only = []string{"s1", "s2", "s3", "s4"} },
+		"without capacity": func(r *backends.Request) { r.IgnoreCapacity = true },
+		"repeat":           func(r *backends.Request) { r.Allowed = []string{"s1", "s2", "s3", "s4"} },
 		"move": func(r *backends.Request) {
-			r.Keep = &chain.Part{ID: "s3", Layers: api.Layers{From: 0, To: 40}}
-			r.Force = true
+			r.FixedFirst = &chain.Part{ID: "s3", Layers: api.Layers{From: 0, To: 40}}
+			r.IgnoreCapacity = true
 		},
 		"of its version": func(r *backends.Request) { r.Version = 1 },
 	}
@@ -56,12 +56,12 @@
 	f.Pause(0, "s3", 2*time.Second)
 	for _, force := range []bool{false, true} {
 		r := request()
-		r.Force = force
+		r.IgnoreCapacity = force
 		_, err := f.Path(500*time.Millisecond, service(), r)
 		paused := new(backends.PauseError)
 		g.Expect(errors.As(err, &paused)).To(BeTrue(), "%v", err)
 		g.Expect(paused.Wait).To(Equal(1500*time.Millisecond), "s3 and s2 form a path then")
-		r.Only = []string{"s1", "s2"}
+		r.Allowed = []string{"s1", "s2"}
 		_, err = f.Path(500*time.Millisecond, service(), r)
 		g.Expect(errors.As(err, &paused)).To(BeTrue(), "%v", err)
 		g.Expect(paused.Wait).To(Equal(2500 * time.Millisecond))
@@ -77,13 +77,13 @@
 	for pause, want := range map[time.Duration]time.Duration{500 * time.Millisecond: 500 * time.Millisecond, 3 * time.Second: 1111 * time.Millisecond} {
 		g := NewWithT(t)
 		f := twoPaths()
-		f.Members(0, "vm-1", []lease.VM{{Name: "vm-1", DataCentre: "a"}})
-		f.SaidRate(0, 0, "s1", 1)
+		f.SetMembers(0, "vm-1", []lease.VM{{Name: "vm-1", DataCentre: "a"}})
+		f.SetRateLimit(0, 0, "s1", 1)
 		f.Pause(0, "s3", pause)
 		_, err := f.Path(0, service(), request())
 		var deferral backends.Deferral
 		g.Expect(errors.As(err, &deferral)).To(BeTrue(), "%v", err)
-		due, known := deferral.Due(0)
+		due, known := deferral.RetryAfter(0)
 		g.Expect(known).To(BeTrue())
 		g.Expect(due).To(BeNumerically("~", want, time.Millisecond))
 	}
@@ -98,7 +98,7 @@
 	f.Put(0, plain)
 	f.Pause(0, "p1@1", time.Minute)
 	f.Remove(0, "p1", 2)
-	f.Tidy(5 * time.Second)
+	f.RemoveExpired(5 * time.Second)
 	plain.Revision = 3
 	f.Put(5*time.Second, plain)
 	_, err := f.Instance(5*time.Second, "app", request())
@@ -118,10 +118,10 @@
 	f.Pause(0, "p1", time.Second)
 	choice, err := f.Instance(time.Second, "app", request())
 	g.Expect(err).NotTo(HaveOccurred())
-	f.Sent(time.Second, choice)
+	f.CountSent(time.Second, choice)
 	_, err = f.Instance(1010*time.Millisecond, "app", request())
 	g.Expect(errors.As(err, new(*backends.PauseError))).To(BeTrue(), "%v", err)
-	f.Took(1020*time.Millisecond, time.Second, choice)
+	f.MarkAccepted(1020*time.Millisecond, time.Second, choice)
 	_, err = f.Instance(1030*time.Millisecond, "app", request())
 	g.Expect(err).NotTo(HaveOccurred())
 }
@@ -130,7 +130,7 @@
 func TestChoiceIsUsableWhileAllItsServersAcceptRequests(t *testing.T) {
 	for name, change := range map[string]func(f *backends.Fleet, id string){
 		"pause":   func(f *backends.Fleet, id string) { f.Pause(0, id, time.Second) },
-		"leaving": func(f *backends.Fleet, id string) { f.SaysLeaving(0, id) },
+		"leaving": func(f *backends.Fleet, id string) { f.MarkLeaving(0, id) },
 		"gone":    func(f *backends.Fleet, id string) { f.Remove(10*time.Second, id, 9) },
 	} {
 		for _, id := range []string{"s1", "s2"} {
@@ -138,9 +138,9 @@
 			f := twoPaths()
 			choice, err := f.Path(0, service(), request())
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(f.Wanted(0, choice)).To(BeTrue())
+			g.Expect(f.Usable(0, choice)).To(BeTrue())
 			change(f, id)
-			g.Expect(f.Wanted(0, choice)).To(BeFalse(), "%s of %s", name, id)
+			g.Expect(f.Usable(0, choice)).To(BeFalse(), "%s of %s", name, id)
 		}
 	}
 }
--- a/internal/core/backends/simulation_test.go
+++ b/internal/core/backends/simulation_test.go
@@ -20,7 +20,7 @@
 		server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 40, 80), server("s3", "a", "slow", 40, 80),
 	}, 1)
 	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s2[40,80)"))
-	f.Full(0, "s2")
+	f.MarkFull(0, "s2")
 	g.Expect(path(g, f, request())).To(Equal("s1[0,40) s3[40,80)"))
 }
 
@@ -69,7 +69,7 @@
 		c.fleets = append(c.fleets, f)
 	}
 	engine := service().Engine
-	c.capacity = engine.Room(engine.Cards["fast"], 20)
+	c.capacity = engine.RequestCapacity(engine.Cards["fast"], 20)
 	return c
 }
 
@@ -102,14 +102,14 @@
 		if (now-offset)%c.publishInterval >= step || now < offset {
 			continue
 		}
-		c.published[i], c.publishedFull[i] = f.Loads(), f.FullNow(now)
+		c.published[i], c.publishedFull[i] = f.PublishUsage(), f.FullServers(now)
 	}
 	for i, f := range c.fleets {
 		offset := c.publishInterval * time.Duration(i) / time.Duration(len(c.fleets))
 		if (now-offset)%c.publishInterval < step && now >= offset {
-			f.Heard(c.remoteUsage(i), len(c.fleets)-1)
+			f.SetRemoteUsage(c.remoteUsage(i), len(c.fleets)-1)
 			if c.sharesFull {
-				f.HeardFull(now, c.remoteFull(i), float64(i)/float64(len(c.fleets)))
+				f.MarkRemoteFull(now, c.remoteFull(i), float64(i)/float64(len(c.fleets)))
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 			continue
 		}
 		for id, load := range loads {
-			sum[id] = sum[id].Plus(load)
+			sum[id] = sum[id].Add(load)
 		}
 	}
 	return sum
@@ -156,7 +156,7 @@
 	for _, part := range load.Parts {
 		if c.actualMemory[part.ID]+part.Memory > c.capacity {
 			c.rejections[part.ID]++
-			f.Full(now, part.ID)
+			f.MarkFull(now, part.ID)
 			return true
 		}
 	}
@@ -167,7 +167,7 @@
 	r := request()
 	choice, err := f.Path(now, service(), r)
 	if err != nil {
-		r.Force = true
+		r.IgnoreCapacity = true
 		choice, err = f.Path(now, service(), r)
 	}
 	c.g.Expect(err).NotTo(HaveOccurred())
@@ -175,7 +175,7 @@
 	if c.serversReject && c.rejected(now, f, load) {
 		return
 	}
-	f.Begin(load)
+	f.AddLoad(load)
 	full := false
 	for _, part := range load.Parts {
 		c.actualMemory[part.ID] += part.Memory
@@ -189,7 +189,7 @@
 		}
 	}
 	c.ends[now+duration] = append(c.ends[now+duration], func() {
-		f.End(load)
+		f.RemoveLoad(load)
 		for _, part := range load.Parts {
 			c.actualMemory[part.ID] -= part.Memory
 		}
@@ -250,7 +250,7 @@
 		c := newSimulation(g, 40, time.Hour)
 		c.serversReject = true
 		for _, f := range c.fleets {
-			f.Live(live)
+			f.SetLiveVMs(live)
 		}
 		c.run(1000, 300*time.Millisecond)
 		sum := 0
@@ -275,8 +275,8 @@
 		f.Replace(0, []backends.Server{
 			server("s1", "a", "fast", 0, 40), server("s2", "a", "fast", 40, 80), server("s3", "a", "slow", 40, 80),
 		}, 1)
-		f.Heard(nil, vms-1)
-		f.HeardFull(0, map[string]time.Duration{"s2": 200 * time.Millisecond}, 0)
+		f.SetRemoteUsage(nil, vms-1)
+		f.MarkRemoteFull(0, map[string]time.Duration{"s2": 200 * time.Millisecond}, 0)
 		g.Expect(path(g, f, request())).To(Equal(expected), "%d VMs", vms)
 	}
 }
--- a/internal/core/backends/slots.go
+++ b/internal/core/backends/slots.go
@@ -34,7 +34,7 @@
 func slowestCost(engine *routes.Engine, request Request) float64 {
 	slowest := 0.0
 	for _, card := range engine.Cards {
-		slowest = max(slowest, requestMillis(engine, card, engine.StepFor(1), request))
+		slowest = max(slowest, requestMillis(engine, card, engine.StepTime(1), request))
 	}
 	return slowest
 }
--- a/internal/core/backends/slots_test.go
+++ b/internal/core/backends/slots_test.go
@@ -72,10 +72,10 @@
 func (q *queueSimulation) publish() {
 	published := make([]map[string]backends.Usage, len(q.fleets))
 	for i, f := range q.fleets {
-		published[i] = f.Loads()
+		published[i] = f.PublishUsage()
 	}
 	for i, f := range q.fleets {
-		f.Heard(sumExcept(published, i), len(q.fleets)-1)
+		f.SetRemoteUsage(sumExcept(published, i), len(q.fleets)-1)
 	}
 }
 
@@ -84,7 +84,7 @@
 	choice, err := f.Path(now, service(), r)
 	q.g.Expect(err).NotTo(HaveOccurred())
 	load := choice.Load(r.Prompt + r.Answer)
-	f.Begin(load)
+	f.AddLoad(load)
 	first, second := choice.First.ID, int(now/time.Second)
 	q.started[second]++
 	run := func(at time.Duration) {
@@ -94,7 +94,7 @@
 		}
 		end := at + q.duration(at)
 		q.ends[end] = append(q.ends[end], func() {
-			f.End(load)
+			f.RemoveLoad(load)
 			q.running[first]--
 			if len(q.waiting[first]) > 0 {
 				next := q.waiting[first][0]
--- a/internal/core/backpressure/pauses.go
+++ b/internal/core/backpressure/pauses.go
@@ -26,9 +26,9 @@
 // NewPauses returns an empty set of pauses.
 func NewPauses() *Pauses { return &Pauses{servers: make(map[string]*pauseState)} }
 
-// Ask records that a server wants no requests for the given time from now on. It never shortens
+// RequestPause records that a server wants no requests for the given time from now on. It never shortens
 // an earlier pause. It reports whether the server was not paused before.
-func (p *Pauses) Ask(now time.Duration, id string, span time.Duration) bool {
+func (p *Pauses) RequestPause(now time.Duration, id string, span time.Duration) bool {
 	known, ok := p.servers[id]
 	if !ok {
 		known = &pauseState{}
@@ -45,36 +45,36 @@
 	return ok && now < known.until
 }
 
-// Until returns the time from which a server may get the next request, or 0 if there is no
+// NextSend returns the time from which a server may get the next request, or 0 if there is no
 // restriction.
-func (p *Pauses) Until(id string) time.Duration {
+func (p *Pauses) NextSend(id string) time.Duration {
 	if known, ok := p.servers[id]; ok {
 		return max(known.until, known.nextProbe)
 	}
 	return 0
 }
 
-// Sent records that a request was sent to a server.
-func (p *Pauses) Sent(now time.Duration, id string) {
+// RecordSent records that a request was sent to a server.
+func (p *Pauses) RecordSent(now time.Duration, id string) {
 	if known, ok := p.servers[id]; ok && now >= known.until {
 		known.nextProbe = now + probeInterval
 	}
 }
 
-// Took records that a server accepted a request that was sent at the given time. Requests sent
+// RecordAccepted records that a server accepted a request that was sent at the given time. Requests sent
 // before the end of the pause are ignored: they say nothing about the present.
-func (p *Pauses) Took(now, sent time.Duration, id string) {
+func (p *Pauses) RecordAccepted(now, sent time.Duration, id string) {
 	if known, ok := p.servers[id]; ok && now >= known.until && sent >= known.until {
 		delete(p.servers, id)
 	}
 }
 
-// Ends returns the times after now, sorted, at which one of the servers selected by match may
+// SendTimes returns the times after now, sorted, at which one of the servers selected by match may
 // get a request.
-func (p *Pauses) Ends(now time.Duration, match func(id string) bool) []time.Duration {
+func (p *Pauses) SendTimes(now time.Duration, match func(id string) bool) []time.Duration {
 	var ends []time.Duration
 	for id := range p.servers {
-		if until := p.Until(id); until > now && match(id) {
+		if until := p.NextSend(id); until > now && match(id) {
 			ends = append(ends, until)
 		}
 	}
@@ -82,8 +82,8 @@
 	return slices.Compact(ends)
 }
 
-// Tidy removes pauses that ended more than pauseRetention ago.
-func (p *Pauses) Tidy(now time.Duration) {
+// RemoveExpired removes pauses that ended more than pauseRetention ago.
+func (p *Pauses) RemoveExpired(now time.Duration) {
 	for id, known := range p.servers {
 		if now > known.until+pauseRetention {
 			delete(p.servers, id)
--- a/internal/core/backpressure/signals.go
+++ b/internal/core/backpressure/signals.go
@@ -17,14 +17,14 @@
 	Limited   bool
 	PerSecond float64
 	// Pause is how long the server wants no requests from this VM: 0 if it asks for no pause,
-	// Unread if the value can't be parsed.
+	// InvalidPause if the value can't be parsed.
 	Pause time.Duration
 	// Leaving is set if the server is shutting down and must get no new requests.
 	Leaving bool
 }
 
-// Unread is the value of a pause that can't be parsed.
-const Unread time.Duration = -1
+// InvalidPause is the value of a pause that can't be parsed.
+const InvalidPause time.Duration = -1
 
 // Rate returns the number of requests per second that the server accepts: ratelimit.Unlimited if
 // it sets no rate, NaN if the value can't be parsed.
--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -15,10 +15,10 @@
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
-	// VMs is the minimum number of VMs among which the slack is divided. UnknownVMs is the
-	// minimum while the number of live VMs is unknown, for UnknownFor after the first request.
-	VMs, UnknownVMs int
-	UnknownFor      time.Duration
+	// MinVMs is the minimum number of VMs among which the slack is divided. StartupVMs is the
+	// minimum while the number of live VMs is unknown, for StartupPeriod after the first request.
+	MinVMs, StartupVMs int
+	StartupPeriod      time.Duration
 	// Random returns a random number in [0, 1). Nil means always 0.5.
 	Random func() float64
 }
@@ -49,7 +49,7 @@
 // Count is what a VM did in the last window.
 type Count struct {
 	Requests int `json:"requests"`
-	Repeats  int `json:"repeats"`
+	Retries  int `json:"repeats"`
 }
 
 // Budget counts one VM's requests and retries by service.
@@ -91,8 +91,8 @@
 	return &Budget{options: options, services: make(map[string]*window)}
 }
 
-// Heard sets the counts by service of the other VMs, summed over that many VMs.
-func (b *Budget) Heard(now time.Duration, vms int, counts map[string]Count) {
+// SetPeerCounts sets the counts by service of the other VMs, summed over that many VMs.
+func (b *Budget) SetPeerCounts(now time.Duration, vms int, counts map[string]Count) {
 	b.peers = peerCounts{at: now, vms: vms, counts: counts}
 	if vms+1 >= b.maxVMs || now-b.maxVMsAt > 2*b.options.Window {
 		b.maxVMs, b.maxVMsAt = vms+1, now
@@ -110,9 +110,9 @@
 	return counts
 }
 
-// Begun reports whether this VM, or another one whose counts it has, received requests in the
+// HasTraffic reports whether this VM, or another one whose counts it has, received requests in the
 // last window.
-func (b *Budget) Begun(now time.Duration) bool {
+func (b *Budget) HasTraffic(now time.Duration) bool {
 	for _, count := range b.peers.counts {
 		if count.Requests > 0 {
 			return true
@@ -126,8 +126,8 @@
 	return false
 }
 
-// Request counts a request for a service.
-func (b *Budget) Request(now time.Duration, service string) {
+// CountRequest counts a request for a service.
+func (b *Budget) CountRequest(now time.Duration, service string) {
 	if b.firstRequestAt == 0 {
 		b.firstRequestAt = now
 	}
@@ -135,7 +135,7 @@
 	w.requests[w.bucket%buckets]++
 }
 
-// Repeat takes one retry and reports true if the retries used so far are below the given part of
+// TakeRetry takes one retry and reports true if the retries used so far are below the given part of
 // the budget (1 is all of it). Less important retries pass a smaller part and leave the rest.
 //
 // Counts of other VMs are up to propagationDelay old. If all VMs see the same failure at the
@@ -147,16 +147,16 @@
 // shares of all VMs together are within the limit whatever each of them knows. If VMs receive
 // the counts of only some others, as on one side of a partition, each side gets its part of the
 // slack.
-func (b *Budget) Repeat(now time.Duration, service string, part float64) bool {
+func (b *Budget) TakeRetry(now time.Duration, service string, part float64) bool {
 	own := b.ownCount(now, service)
 	share := b.limit(own.Requests) - b.options.Slack + b.options.Slack/float64(b.vmCount(now))
-	next := float64(own.Repeats + 1)
+	next := float64(own.Retries + 1)
 	allowed := next <= part*reservedFraction*share
-	if b.peers.vms > 0 && now-b.peers.at <= peerCountsTTL && now >= b.firstRequestAt+b.options.UnknownFor {
+	if b.peers.vms > 0 && now-b.peers.at <= peerCountsTTL && now >= b.firstRequestAt+b.options.StartupPeriod {
 		vms := float64(b.peers.vms + 1)
 		peers := b.peers.counts[service]
 		limit := b.options.Ratio*float64(own.Requests+peers.Requests) + b.options.Slack*vms/max(vms, float64(b.vmCount(now)))
-		left := part*sharedFraction*limit - float64(own.Repeats+peers.Repeats)
+		left := part*sharedFraction*limit - float64(own.Retries+peers.Retries)
 		if left < vms {
 			// Less than one retry per VM is left: random draws decide which VMs take one, and
 			// how many do.
@@ -192,22 +192,22 @@
 // VMs start at the same moment and don't know one another: if each took a large share, together
 // they would far exceed the limit.
 func (b *Budget) vmCount(now time.Duration) int {
-	known := max(b.options.VMs, b.maxVMs, b.liveVMs, 1)
-	if b.liveVMs == 0 && now < b.firstRequestAt+b.options.UnknownFor {
-		return max(known, b.options.UnknownVMs)
+	known := max(b.options.MinVMs, b.maxVMs, b.liveVMs, 1)
+	if b.liveVMs == 0 && now < b.firstRequestAt+b.options.StartupPeriod {
+		return max(known, b.options.StartupVMs)
 	}
 	return known
 }
 
-// Live sets the number of live VMs, this one included.
-func (b *Budget) Live(vms int) { b.liveVMs = vms }
+// SetLiveVMs sets the number of live VMs, this one included.
+func (b *Budget) SetLiveVMs(vms int) { b.liveVMs = vms }
 
 func (b *Budget) ownCount(now time.Duration, service string) Count {
 	w := b.window(now, service)
 	var count Count
 	for i := range buckets {
 		count.Requests += w.requests[i]
-		count.Repeats += w.retries[i]
+		count.Retries += w.retries[i]
 	}
 	return count
 }
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -12,13 +12,13 @@
 )
 
 func options(vms int) budget.Options {
-	return budget.Options{Ratio: 0.2, Slack: 200, Window: 10 * time.Second, VMs: vms}
+	return budget.Options{Ratio: 0.2, Slack: 200, Window: 10 * time.Second, MinVMs: vms}
 }
 
 // spend takes retries until the budget refuses one, and returns their number.
 func spend(b *budget.Budget, now time.Duration) int {
 	for n := 0; ; n++ {
-		if !b.Repeat(now, "s", 1) {
+		if !b.TakeRetry(now, "s", 1) {
 			return n
 		}
 	}
@@ -28,7 +28,7 @@
 	g := NewWithT(t)
 	b := budget.New(options(10))
 	g.Expect(spend(b, time.Second)).To(Equal(18))
-	g.Expect(b.Repeat(time.Second, "other", 1)).To(BeTrue())
+	g.Expect(b.TakeRetry(time.Second, "other", 1)).To(BeTrue())
 	g.Expect(spend(b, 12*time.Second)).To(Equal(18))
 }
 
@@ -41,7 +41,7 @@
 	taken := 0
 	for second := range 10 {
 		now := time.Duration(second) * time.Second
-		b.Heard(now, 9, map[string]budget.Count{"s": {Requests: 900}})
+		b.SetPeerCounts(now, 9, map[string]budget.Count{"s": {Requests: 900}})
 		taken += spend(b, now)
 	}
 	g.Expect(taken).To(BeNumerically(">", 150), "its own share is 20")
@@ -55,7 +55,7 @@
 	f := newFleet(9, 1)
 	for _, vm := range f.vms {
 		for range 100 {
-			vm.Request(time.Second, "s")
+			vm.CountRequest(time.Second, "s")
 		}
 	}
 	retries := 0
@@ -83,7 +83,7 @@
 		f.vms = append(f.vms, budget.New(options(vms)))
 	}
 	for _, b := range f.vms {
-		b.Heard(0, vms-1, nil)
+		b.SetPeerCounts(0, vms-1, nil)
 	}
 	return f
 }
@@ -96,11 +96,11 @@
 			if i != j && i%f.groups == j%f.groups {
 				count := other.Counts(now)["s"]
 				sum.Requests += count.Requests
-				sum.Repeats += count.Repeats
+				sum.Retries += count.Retries
 				others++
 			}
 		}
-		b.Heard(now, others, map[string]budget.Count{"s": sum})
+		b.SetPeerCounts(now, others, map[string]budget.Count{"s": sum})
 	}
 }
 
@@ -115,11 +115,11 @@
 			f.exchange(now)
 			vm := rapid.SampledFrom(f.vms).Draw(t, "vm")
 			for range rapid.IntRange(0, 10).Draw(t, "requests") {
-				vm.Request(now, "s")
+				vm.CountRequest(now, "s")
 				requests++
 			}
 			for range rapid.IntRange(0, 10).Draw(t, "repeats") {
-				if vm.Repeat(now, "s", 1) {
+				if vm.TakeRetry(now, "s", 1) {
 					retries++
 				}
 			}
@@ -134,21 +134,21 @@
 // moment, don't know one another, and each takes the share of a small deployment.
 func TestVMsTakeSmallSharesAtStartup(t *testing.T) {
 	g := NewWithT(t)
-	options := budget.Options{Ratio: 0.2, Slack: 354, Window: 10 * time.Second, VMs: 12, UnknownVMs: 100, UnknownFor: 3 * time.Second}
+	options := budget.Options{Ratio: 0.2, Slack: 354, Window: 10 * time.Second, MinVMs: 12, StartupVMs: 100, StartupPeriod: 3 * time.Second}
 	sum := 0
 	for range 85 {
 		b := budget.New(options)
-		b.Request(time.Second, "llm")
-		for b.Repeat(time.Second, "llm", 1) {
+		b.CountRequest(time.Second, "llm")
+		for b.TakeRetry(time.Second, "llm", 1) {
 			sum++
 		}
 	}
 	g.Expect(sum).To(BeNumerically("<=", 354))
 	b := budget.New(options)
-	b.Request(time.Second, "llm")
-	b.Live(9)
+	b.CountRequest(time.Second, "llm")
+	b.SetLiveVMs(9)
 	known := 0
-	for b.Repeat(time.Second, "llm", 1) {
+	for b.TakeRetry(time.Second, "llm", 1) {
 		known++
 	}
 	g.Expect(known).To(BeNumerically(">", 20), "a VM that knows eight others gets its full share")
@@ -180,10 +180,10 @@
 		now := time.Duration(round) * 250 * time.Millisecond
 		f.exchange(now)
 		for i, vm := range f.vms {
-			vm.Request(now, "s")
+			vm.CountRequest(now, "s")
 			if i < failing && round%2 == 0 {
 				attempted++
-				if vm.Repeat(now, "s", 1) {
+				if vm.TakeRetry(now, "s", 1) {
 					allowed++
 				}
 			}
@@ -206,7 +206,7 @@
 		}
 		for i, vm := range f.vms {
 			if (i+tenth)%4 == 0 {
-				vm.Request(now, "s")
+				vm.CountRequest(now, "s")
 				requests++
 			}
 			retries += spend(vm, now)
@@ -226,10 +226,10 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	fleet := &fleet{groups: 1}
 	for range vms {
-		fleet.vms = append(fleet.vms, budget.New(budget.Options{Ratio: ratio, Slack: slack, Window: 10 * time.Second, VMs: 12, Random: random.Float64}))
+		fleet.vms = append(fleet.vms, budget.New(budget.Options{Ratio: ratio, Slack: slack, Window: 10 * time.Second, MinVMs: 12, Random: random.Float64}))
 	}
 	for i := range requests {
-		fleet.vms[i%vms].Request(time.Second, "s")
+		fleet.vms[i%vms].CountRequest(time.Second, "s")
 	}
 	retries := 0
 	for now := time.Second; now < 3*time.Second; now += 50 * time.Millisecond {
@@ -237,7 +237,7 @@
 			fleet.exchange(now)
 		}
 		for _, vm := range fleet.vms {
-			if vm.Repeat(now, "s", 0.75) {
+			if vm.TakeRetry(now, "s", 0.75) {
 				retries++
 			}
 		}
@@ -256,7 +256,7 @@
 		limit, sum := c.ratio*float64(c.requests)+c.slack, 0
 		for seed := range uint64(seeds) {
 			retries := retriesByDraw(c.vms, c.requests, budget.Options{
-				Ratio: c.ratio, Slack: c.slack, Window: 10 * time.Second, VMs: 12, Random: rand.New(rand.NewPCG(seed, 1)).Float64,
+				Ratio: c.ratio, Slack: c.slack, Window: 10 * time.Second, MinVMs: 12, Random: rand.New(rand.NewPCG(seed, 1)).Float64,
 			})
 			g.Expect(float64(retries)).To(BeNumerically("<=", limit), "%d VMs, seed %d", c.vms, seed)
 			sum += retries
@@ -273,14 +273,14 @@
 		fleet.vms = append(fleet.vms, budget.New(options))
 	}
 	for i := range requests {
-		fleet.vms[i%vms].Request(time.Second, "s")
+		fleet.vms[i%vms].CountRequest(time.Second, "s")
 	}
 	for now := time.Second; now < 5*time.Second; now += 50 * time.Millisecond {
 		if now == time.Second || now%(750*time.Millisecond) == 0 {
 			fleet.exchange(now)
 		}
 		for _, vm := range fleet.vms {
-			if vm.Repeat(now, "s", 1) {
+			if vm.TakeRetry(now, "s", 1) {
 				retries++
 			}
 		}
--- a/internal/core/claim/bench_test.go
+++ b/internal/core/claim/bench_test.go
@@ -23,11 +23,11 @@
 func newSingleVMShard() *singleVMShard {
 	self := lease.VM{Name: "a", DataCentre: "bornova", Incarnation: "a-1"}
 	s := &singleVMShard{shard: claim.New(claim.Options{
-		Shard: "bornova.0", Home: "bornova", Self: self, Interval: 50 * time.Millisecond, Lease: 4 * time.Second,
-		Retention: time.Hour, ClaimTimeout: time.Second, Poll: 500 * time.Millisecond,
+		Shard: "bornova.0", Home: "bornova", Self: self, WriteInterval: 50 * time.Millisecond, LeaseDuration: 4 * time.Second,
+		Retention: time.Hour, ClaimTimeout: time.Second, PollInterval: 500 * time.Millisecond,
 		PageOps: 4000, MaxOps: 15_000, MaxKeys: 10_000_000,
 	})}
-	s.step(claim.Live{VMs: []lease.VM{self}})
+	s.step(claim.LiveVMs{VMs: []lease.VM{self}})
 	return s
 }
 
--- a/internal/core/claim/cluster_test.go
+++ b/internal/core/claim/cluster_test.go
@@ -112,9 +112,9 @@
 	m.self = lease.VM{Name: name, DataCentre: "bornova", Incarnation: fmt.Sprintf("%s-%d", name, m.incarnation)}
 	options := claim.Options{
 		Shard: "bornova-0", Home: "bornova", Self: m.self,
-		Interval: 50 * time.Millisecond, Lease: 2 * time.Second, ClockError: 200 * time.Millisecond,
+		WriteInterval: 50 * time.Millisecond, LeaseDuration: 2 * time.Second, ClockError: 200 * time.Millisecond,
 		OutageLimit: 20 * time.Second, Retention: time.Hour, ClaimTimeout: time.Second, GrantValidity: 5 * time.Second,
-		SlowAfter: 200 * time.Millisecond, Poll: 250 * time.Millisecond, Standbys: c.standbyCount, PageOps: 4, MaxOps: 1000, MaxKeys: 1000,
+		SlowWriteThreshold: 200 * time.Millisecond, PollInterval: 250 * time.Millisecond, StandbyCount: c.standbyCount, PageOps: 4, MaxOps: 1000, MaxKeys: 1000,
 	}
 	m.shard = claim.New(options)
 	c.sendLive()
@@ -129,7 +129,7 @@
 	}
 	for _, name := range c.names {
 		if c.vms[name].shard != nil {
-			c.step(name, claim.Live{VMs: live})
+			c.step(name, claim.LiveVMs{VMs: live})
 		}
 	}
 }
@@ -205,7 +205,7 @@
 			return nil
 		}, nil)
 	case claim.SendAppend:
-		s.call(a.Append.To.Name, func() claim.Event { return c.appendOnStandby(a.Append) }, nil)
+		s.call(a.Append.Standby.Name, func() claim.Event { return c.appendOnStandby(a.Append) }, nil)
 	}
 }
 
@@ -221,7 +221,7 @@
 
 // appendOnStandby returns a standby's reply to an owner's append.
 func (c *cluster) appendOnStandby(a claim.Append) claim.Event {
-	to := c.vms[a.To.Name]
+	to := c.vms[a.Standby.Name]
 	if to.paused {
 		return nil
 	}
@@ -229,10 +229,10 @@
 	for _, action := range to.shard.Step(c.now, a) {
 		answer, ok := action.(claim.AppendReply)
 		if !ok {
-			c.execute(a.To.Name, action)
+			c.execute(a.Standby.Name, action)
 			continue
 		}
-		reply = claim.Appended{Standby: a.To, Epoch: a.Epoch, Refused: answer.Refused, End: answer.End}
+		reply = claim.Appended{Standby: a.Standby, Epoch: a.Epoch, Refused: answer.Refused, End: answer.End}
 	}
 	return reply
 }
--- a/internal/core/claim/commit.go
+++ b/internal/core/claim/commit.go
@@ -39,7 +39,7 @@
 		return
 	}
 	pending := o.end() > o.confirmed
-	renew := now >= o.lastWrite+s.options.Lease/renewalsPerLease
+	renew := now >= o.lastWrite+s.options.LeaseDuration/renewalsPerLease
 	if !pending && !renew && !o.releasing && !o.peekNeedsWrite() {
 		return
 	}
@@ -50,7 +50,7 @@
 	o.addPossibleHead(head, now)
 	o.obsoletePages = nil
 	o.lastWrite = now
-	o.nextWrite = now + s.options.Interval
+	o.nextWrite = now + s.options.WriteInterval
 	s.emit(WriteHead{Number: s.lastWriteNumber, IfVersion: s.version, Head: head})
 }
 
@@ -78,7 +78,7 @@
 		Standbys: s.chooseStandbys(),
 		Released: o.releasing,
 		Renewal:  o.renewal,
-		Duration: s.options.Lease,
+		Duration: s.options.LeaseDuration,
 		Start:    o.start,
 		Ops:      o.ops[:len(o.ops):len(o.ops)],
 	}
@@ -166,7 +166,7 @@
 	}
 	s.dropPeeks()
 	s.owner = nil
-	s.nextRead = now + s.options.Poll
+	s.nextRead = now + s.options.PollInterval
 	s.emitNotice(NoticeReleased)
 }
 
@@ -182,7 +182,7 @@
 // platform fail or are slow.
 func (s *Shard) replicateToStandbys(now Time) {
 	o := s.owner
-	slow := o.inFlight != nil && now >= o.inFlight.sent+s.options.SlowAfter
+	slow := o.inFlight != nil && now >= o.inFlight.sent+s.options.SlowWriteThreshold
 	if !o.degraded && !slow || o.end() == o.confirmed || !s.canCommitOnStandbys(now) {
 		return
 	}
@@ -207,12 +207,12 @@
 	state.sent = now
 	from := max(state.ackedEnd, o.confirmed)
 	s.emit(SendAppend{Append{
-		Epoch:     o.epoch,
-		Owner:     s.options.Self,
-		To:        vm,
-		Confirmed: o.confirmed,
-		From:      from,
-		Ops:       slices.Clone(o.ops[from-o.start:]),
+		Epoch:      o.epoch,
+		Owner:      s.options.Self,
+		Standby:    vm,
+		Confirmed:  o.confirmed,
+		FirstIndex: from,
+		Ops:        slices.Clone(o.ops[from-o.start:]),
 	}})
 }
 
--- a/internal/core/claim/messages.go
+++ b/internal/core/claim/messages.go
@@ -100,17 +100,17 @@
 	Call  uint64
 	Epoch uint64
 	Owner lease.VM
-	// To is the process that the owner addresses; a restarted one must refuse.
-	To lease.VM
+	// Standby is the process that the owner addresses; a restarted one must refuse.
+	Standby lease.VM
 	// Confirmed is the index after the last op known to be stored in the platform.
 	Confirmed uint64
-	// From is the index of the first op of Ops.
-	From uint64
-	Ops  Journal
+	// FirstIndex is the index of the first op of Ops.
+	FirstIndex uint64
+	Ops        Journal
 }
 
-// Live lists the VMs that are alive and not shutting down, this one included.
-type Live struct{ VMs []lease.VM }
+// LiveVMs lists the VMs that are alive and not shutting down, this one included.
+type LiveVMs struct{ VMs []lease.VM }
 
 // Release asks the owner to give up the shard at once, because its VM is shutting down.
 type Release struct{}
@@ -188,7 +188,7 @@
 func (PageWritten) isEvent() {}
 func (Appended) isEvent()    {}
 func (Append) isEvent()      {}
-func (Live) isEvent()        {}
+func (LiveVMs) isEvent()     {}
 func (Release) isEvent()     {}
 
 func (Decided) isAction()     {}
--- a/internal/core/claim/owner.go
+++ b/internal/core/claim/owner.go
@@ -163,7 +163,7 @@
 		return
 	}
 	o.loading = false
-	o.nextLoad = now + s.options.Poll
+	o.nextLoad = now + s.options.PollInterval
 	if e.Failed {
 		return
 	}
@@ -269,7 +269,7 @@
 // platform is unavailable, and committing on the standbys isn't possible.
 func (s *Shard) cannotCommit(now Time) bool {
 	o := s.owner
-	return o.degraded && now >= o.lastConfirmed+s.options.Lease && !s.canCommitOnStandbys(now)
+	return o.degraded && now >= o.lastConfirmed+s.options.LeaseDuration && !s.canCommitOnStandbys(now)
 }
 
 // canCommitOnStandbys reports whether acknowledgements of the standbys may replace
--- a/internal/core/claim/shard.go
+++ b/internal/core/claim/shard.go
@@ -14,10 +14,10 @@
 	Home  string
 	// Self is this VM.
 	Self lease.VM
-	// Interval is the minimum time between two writes of the head (group commit).
-	Interval time.Duration
-	// Lease is how long an owner may go without a write before another VM takes over.
-	Lease time.Duration
+	// WriteInterval is the minimum time between two writes of the head (group commit).
+	WriteInterval time.Duration
+	// LeaseDuration is how long an owner may go without a write before another VM takes over.
+	LeaseDuration time.Duration
 	// ClockError is added to every wait for another VM, to allow for clock drift.
 	ClockError time.Duration
 	// OutageLimit is how long an owner may commit on its standbys alone while the platform is unavailable.
@@ -28,12 +28,12 @@
 	ClaimTimeout time.Duration
 	// GrantValidity is how long a grant may be used, counted from the time of the call.
 	GrantValidity time.Duration
-	// SlowAfter is how long a write may take before its ops are also sent to the standbys.
-	SlowAfter time.Duration
-	// Poll is the interval at which a VM that may take over reads the head.
-	Poll time.Duration
-	// Standbys is the number of standbys to name in the head.
-	Standbys int
+	// SlowWriteThreshold is how long a write may take before its ops are also sent to the standbys.
+	SlowWriteThreshold time.Duration
+	// PollInterval is the interval at which a VM that may take over reads the head.
+	PollInterval time.Duration
+	// StandbyCount is the number of standbys to name in the head.
+	StandbyCount int
 	// StandbysElsewhere prefers standbys in other data centres to those in the owner's.
 	StandbysElsewhere bool
 	// PageOps is the number of ops at which the newest part of the journal is sealed.
@@ -105,7 +105,7 @@
 		s.handleAppended(now, e)
 	case Append:
 		s.handleAppend(e)
-	case Live:
+	case LiveVMs:
 		s.setLive(e.VMs)
 	case Release:
 		s.startRelease()
@@ -118,8 +118,8 @@
 // Owns reports whether this VM decides the shard's keys, as far as it knows.
 func (s *Shard) Owns() bool { return s.owner != nil && !s.owner.releasing }
 
-// Holds reports whether this VM owns the shard, even if it is only handing it over.
-func (s *Shard) Holds() bool { return s.owner != nil }
+// OwnsOrReleasing reports whether this VM owns the shard, even if it is only handing it over.
+func (s *Shard) OwnsOrReleasing() bool { return s.owner != nil }
 
 // Owner returns the shard's owner as far as this VM knows. The second result is
 // false when no owner is known or the owner is releasing the shard.
@@ -138,9 +138,9 @@
 	return len(s.owner.table.entries)
 }
 
-// Want records that this VM has a claim for the shard, so that it polls the head
+// RecordDemand records that this VM has a claim for the shard, so that it polls the head
 // to find the owner. With refresh it reads the head in its next step.
-func (s *Shard) Want(now Time, refresh bool) {
+func (s *Shard) RecordDemand(now Time, refresh bool) {
 	s.lastDemand = now
 	if refresh {
 		s.nextRead = min(s.nextRead, now)
@@ -173,14 +173,14 @@
 	}
 	if !s.reading && now >= s.nextRead && s.shouldReadHead(now) {
 		s.reading = true
-		s.nextRead = now + s.options.Poll
+		s.nextRead = now + s.options.PollInterval
 		s.emit(ReadHead{})
 	}
 }
 
-// Next returns when the shard needs its next Tick if no other event comes first.
-func (s *Shard) Next(now Time) Time {
-	next := now + s.options.Poll
+// NextTick returns when the shard needs its next Tick if no other event comes first.
+func (s *Shard) NextTick(now Time) Time {
+	next := now + s.options.PollInterval
 	if !s.reading && s.shouldReadHead(now) {
 		next = min(next, s.nextRead)
 	}
@@ -189,7 +189,7 @@
 		return next
 	}
 	if len(o.waiters) > 0 {
-		next = min(next, o.waiters[0].expires, now+s.options.Interval)
+		next = min(next, o.waiters[0].expires, now+s.options.WriteInterval)
 	}
 	if len(o.peeks) > 0 {
 		next = min(next, o.peeks[0].expires)
--- a/internal/core/claim/standby.go
+++ b/internal/core/claim/standby.go
@@ -33,7 +33,7 @@
 // acknowledgement of every standby, grants no more claims.
 func (s *Shard) handleAppend(e Append) {
 	refuse := AppendReply{Call: e.Call, Refused: true}
-	if !sameProcess(e.To, s.options.Self) || s.takeover != nil || e.Epoch < s.highestEpoch || !lease.Plausible(s.highestEpoch, e.Epoch) {
+	if !sameProcess(e.Standby, s.options.Self) || s.takeover != nil || e.Epoch < s.highestEpoch || !lease.Plausible(s.highestEpoch, e.Epoch) {
 		s.emit(refuse)
 		return
 	}
@@ -52,14 +52,14 @@
 // withAppend returns the tail with the ops of an Append added, if they continue it
 // without a gap. Ops below Confirmed are stored in the platform and are dropped.
 func (t tail) withAppend(e Append) tail {
-	if e.Epoch != t.epoch || t.end() < e.Confirmed && e.From <= e.Confirmed {
-		if e.From > e.Confirmed {
+	if e.Epoch != t.epoch || t.end() < e.Confirmed && e.FirstIndex <= e.Confirmed {
+		if e.FirstIndex > e.Confirmed {
 			return tail{epoch: e.Epoch, start: e.Confirmed}
 		}
-		t = tail{epoch: e.Epoch, start: e.From}
+		t = tail{epoch: e.Epoch, start: e.FirstIndex}
 	}
-	if e.From <= t.end() && e.From+uint64(len(e.Ops)) > t.end() {
-		t.ops = append(t.ops, e.Ops[t.end()-e.From:]...)
+	if e.FirstIndex <= t.end() && e.FirstIndex+uint64(len(e.Ops)) > t.end() {
+		t.ops = append(t.ops, e.Ops[t.end()-e.FirstIndex:]...)
 	}
 	if e.Confirmed > t.start {
 		drop := min(e.Confirmed, t.end()) - t.start
@@ -104,7 +104,7 @@
 	next.Standbys = s.chooseStandbys()
 	next.Released = false
 	next.Renewal = 0
-	next.Duration = s.options.Lease
+	next.Duration = s.options.LeaseDuration
 	if gap {
 		next.Gap = &Gap{}
 	}
@@ -131,7 +131,9 @@
 
 // takeoverStagger is the delay between the takeovers of consecutive candidates: long
 // enough for the second to read the head that the first has written.
-func (s *Shard) takeoverStagger() time.Duration { return s.options.Poll + s.options.Poll/2 }
+func (s *Shard) takeoverStagger() time.Duration {
+	return s.options.PollInterval + s.options.PollInterval/2
+}
 
 // appendTail adds the ops that this VM holds as a standby to a head. It returns
 // false when the head is older than the state that the owner has reported in its
@@ -168,7 +170,7 @@
 			return 1
 		}
 	})
-	return slices.Clone(others[:min(s.options.Standbys, len(others))])
+	return slices.Clone(others[:min(s.options.StandbyCount, len(others))])
 }
 
 func (s *Shard) writeTakeover(now Time) {
@@ -178,7 +180,7 @@
 	s.lastWriteNumber++
 	s.takeover.number = s.lastWriteNumber
 	s.takeover.inFlight = true
-	s.nextRead = now + s.options.Poll
+	s.nextRead = now + s.options.PollInterval
 	s.emit(WriteHead{Number: s.lastWriteNumber, IfVersion: s.takeover.ifVersion, Head: s.takeover.head})
 }
 
--- a/internal/core/config/accept.go
+++ b/internal/core/config/accept.go
@@ -16,8 +16,8 @@
 // it would revert changes accepted in the meantime.
 var ErrStaleView = eris.New("view is older than the release in force: list the records and the release again")
 
-// Attempt is the input of Accept: the state known to the VM that runs it.
-type Attempt struct {
+// AcceptInput is the input of Accept: the state known to the VM that runs it.
+type AcceptInput struct {
 	// InForce is the configuration of Release.
 	InForce *Set
 	// Release is the newest release read from the platform.
@@ -33,8 +33,8 @@
 	At string
 }
 
-// Outcome is the result of Accept.
-type Outcome struct {
+// AcceptResult is the result of Accept.
+type AcceptResult struct {
 	// Records is the status of each changed record, in the order of the changes.
 	Records []api.RecordStatus
 	// Release is the next release. It must be written with a conditional update
@@ -45,17 +45,17 @@
 	Set *Set
 	// NewPages are the pages and indexes to write before the release.
 	NewPages []api.PageRef
-	// Standing lists violations in the set that no change caused. They don't
+	// PreexistingViolations lists violations in the set that no change caused. They don't
 	// block changes.
-	Standing api.Violations
+	PreexistingViolations api.Violations
 }
 
 // Accept validates changes and builds the next release from the valid ones. An
 // invalid change is refused and does not block the others, so one operator's
 // mistake does not delay another operator. The error is ErrStaleView.
-func Accept(input Attempt) (Outcome, error) {
+func Accept(input AcceptInput) (AcceptResult, error) {
 	if err := input.checkView(); err != nil {
-		return Outcome{}, err
+		return AcceptResult{}, err
 	}
 	e := newEvaluation(input)
 	e.checkCandidates()
@@ -65,7 +65,7 @@
 
 // checkView returns ErrStaleView unless the set and the view are at least as new as
 // the release.
-func (a Attempt) checkView() error {
+func (a AcceptInput) checkView() error {
 	if a.InForce.Release != a.Release.Sequence {
 		return eris.Wrapf(ErrStaleView, "set is of release %d, release is %d", a.InForce.Release, a.Release.Sequence)
 	}
@@ -89,7 +89,7 @@
 
 // evaluation is the state of one run of Accept.
 type evaluation struct {
-	input      Attempt
+	input      AcceptInput
 	candidates []*candidate
 	// byKey indexes the candidates by record key. It is built on the first finding.
 	byKey       map[string]*candidate
@@ -97,7 +97,7 @@
 	set         *Set
 }
 
-func newEvaluation(input Attempt) *evaluation {
+func newEvaluation(input AcceptInput) *evaluation {
 	e := &evaluation{input: input}
 	for i := range input.Changes {
 		change := &input.Changes[i]
@@ -282,8 +282,8 @@
 	return validateChanged(e.input.InForce, e.set, edits)
 }
 
-func (e *evaluation) result() Outcome {
-	out := Outcome{Standing: e.preexisting}
+func (e *evaluation) result() AcceptResult {
+	out := AcceptResult{PreexistingViolations: e.preexisting}
 	for _, c := range e.candidates {
 		out.Records = append(out.Records, c.status(e.input.Release.Sequence+1))
 	}
@@ -318,10 +318,10 @@
 // wrap it name both releases.
 var ErrConflict = eris.New("another VM's release was written first: nothing is lost, the changes are decided on again")
 
-// Settle determines whether a release was written after its write was refused or
+// ConfirmWritten determines whether a release was written after its write was refused or
 // the response was lost. current is the platform's newest release. It returns
 // nil if ours was written, and ErrConflict otherwise.
-func Settle(ours, current api.Release) error {
+func ConfirmWritten(ours, current api.Release) error {
 	if current.Digest() == ours.Digest() || current.Previous == ours.Digest() {
 		return nil
 	}
--- a/internal/core/config/accept_test.go
+++ b/internal/core/config/accept_test.go
@@ -49,7 +49,7 @@
 	return f
 }
 
-func (f *fixture) input(changes ...Change) Attempt {
+func (f *fixture) input(changes ...Change) AcceptInput {
 	seen := map[api.Kind]uint64{}
 	for kind, version := range f.release.Seen {
 		seen[kind] = version
@@ -57,10 +57,10 @@
 	for _, change := range changes {
 		seen[change.Kind] = max(seen[change.Kind], change.Version)
 	}
-	return Attempt{InForce: f.set, Release: f.release, Changes: changes, Seen: seen, By: "vm-1"}
+	return AcceptInput{InForce: f.set, Release: f.release, Changes: changes, Seen: seen, By: "vm-1"}
 }
 
-func (f *fixture) accept(changes ...Change) Outcome {
+func (f *fixture) accept(changes ...Change) AcceptResult {
 	out, err := Accept(f.input(changes...))
 	f.Expect(err).NotTo(HaveOccurred())
 	if out.Release != nil {
@@ -69,7 +69,7 @@
 	return out
 }
 
-func states(out Outcome) map[string]api.RecordState {
+func states(out AcceptResult) map[string]api.RecordState {
 	got := map[string]api.RecordState{}
 	for _, status := range out.Records {
 		got[status.Record] = status.State
@@ -77,7 +77,7 @@
 	return got
 }
 
-func violations(out Outcome, record string) api.Violations {
+func violations(out AcceptResult, record string) api.Violations {
 	for _, status := range out.Records {
 		if status.Record == record {
 			return status.Violations
@@ -166,11 +166,11 @@
 	theirs, err := Accept(other)
 	f.Expect(err).NotTo(HaveOccurred())
 
-	f.Expect(Settle(*ours.Release, *ours.Release)).To(Succeed(), "lost response")
+	f.Expect(ConfirmWritten(*ours.Release, *ours.Release)).To(Succeed(), "lost response")
 	f.set, f.release = ours.Set, *ours.Release
 	next := f.accept(serverChange("c", 12, 0, 12))
-	f.Expect(Settle(*ours.Release, *next.Release)).To(Succeed(), "lost response, followed by another release")
-	err = Settle(*ours.Release, *theirs.Release)
+	f.Expect(ConfirmWritten(*ours.Release, *next.Release)).To(Succeed(), "lost response, followed by another release")
+	err = ConfirmWritten(*ours.Release, *theirs.Release)
 	f.Expect(err).To(MatchError(ErrConflict))
 	f.Expect(err.Error()).To(SatisfyAll(ContainSubstring("2 by vm-1"), ContainSubstring("2 by vm-2")))
 	f.Expect(IsConflict(err)).To(BeTrue())
@@ -289,5 +289,5 @@
 	out := f.accept(recordChange(api.KindClientAccount, "new", 10, "v1", fmt.Sprintf(`{"keySHA256":["%064x"]}`, 2)),
 		recordChange(api.KindRoute, "docs", 11, "v1", `{"pathPrefix":"/docs/","service":"portal"}`))
 	f.Expect(states(out)).To(HaveEach(api.RecordAccepted))
-	f.Expect(out.Standing).NotTo(BeEmpty())
+	f.Expect(out.PreexistingViolations).NotTo(BeEmpty())
 }
--- a/internal/core/config/bench_test.go
+++ b/internal/core/config/bench_test.go
@@ -44,7 +44,7 @@
 }
 
 func acceptAll(b *testing.B, changes []Change) (*Set, api.Release) {
-	out, err := Accept(Attempt{InForce: Empty(), Changes: append(baseChanges(), changes...), By: "vm"})
+	out, err := Accept(AcceptInput{InForce: Empty(), Changes: append(baseChanges(), changes...), By: "vm"})
 	if err != nil || out.Release == nil {
 		b.Fatalf("not accepted: %v", err)
 	}
@@ -94,7 +94,7 @@
 func BenchmarkAcceptAll(b *testing.B) {
 	changes := append(baseChanges(), manyAccounts(31_000)...)
 	for b.Loop() {
-		out, err := Accept(Attempt{InForce: Empty(), Changes: changes, By: "vm"})
+		out, err := Accept(AcceptInput{InForce: Empty(), Changes: changes, By: "vm"})
 		if err != nil || out.Set.Count(api.KindClientAccount) != 31_001 {
 			b.Fatal(err)
 		}
@@ -106,12 +106,12 @@
 func benchmarkOneChange(b *testing.B, base []Change, change Change) {
 	set, release := acceptAll(b, base)
 	seen := map[api.Kind]uint64{change.Kind: change.Version}
-	var out Outcome
+	var out AcceptResult
 	b.Run("accept", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			var err error
-			out, err = Accept(Attempt{InForce: set, Release: release, Changes: []Change{change}, Seen: seen, By: "vm"})
+			out, err = Accept(AcceptInput{InForce: set, Release: release, Changes: []Change{change}, Seen: seen, By: "vm"})
 			if err != nil || out.Release == nil {
 				b.Fatal(err, out.Records)
 			}
--- a/internal/core/config/fuzz_test.go
+++ b/internal/core/config/fuzz_test.go
@@ -33,7 +33,7 @@
 func FuzzChange(f *testing.F) {
 	f.Fuzz(func(t *testing.T, kind, name string, raw []byte) {
 		change := Change{Kind: api.Kind(kind), Name: name, Version: 1, Raw: raw}
-		out, err := Accept(Attempt{InForce: Empty(), Changes: []Change{change}, By: "vm"})
+		out, err := Accept(AcceptInput{InForce: Empty(), Changes: []Change{change}, By: "vm"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/config/index_test.go
+++ b/internal/core/config/index_test.go
@@ -104,7 +104,7 @@
 		record := paddedRecord(t, "account-0007", version, pageBytes*2/3)
 		return Change{Kind: record.Kind, Name: record.Name, Version: version, Raw: record.Raw}
 	}
-	out, err := Accept(Attempt{InForce: set, Release: former, Changes: []Change{write(9)}, By: "vm"})
+	out, err := Accept(AcceptInput{InForce: set, Release: former, Changes: []Change{write(9)}, By: "vm"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(out.Release).NotTo(BeNil())
 	for _, ref := range out.Release.Pages {
@@ -112,7 +112,7 @@
 			g.Expect(out.NewPages).To(ContainElement(ref))
 		}
 	}
-	again, err := Accept(Attempt{InForce: out.Set, Release: *out.Release, Changes: []Change{write(10)}, By: "vm"})
+	again, err := Accept(AcceptInput{InForce: out.Set, Release: *out.Release, Changes: []Change{write(10)}, By: "vm"})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again.NewPages).To(HaveLen(2), "a page and its index")
 }
--- a/internal/core/config/inforce.go
+++ b/internal/core/config/inforce.go
@@ -38,10 +38,10 @@
 	Forked Decision = "forked"
 )
 
-// Judge decides what to do with an offered release, given the one in force. The
+// DecideRelease decides what to do with an offered release, given the one in force. The
 // release in force never regresses, not even after a network partition, a
 // restart of the platform, a stale list or a slow watch.
-func Judge(inForce, offered api.Release, source Source) Decision {
+func DecideRelease(inForce, offered api.Release, source Source) Decision {
 	switch {
 	case offered.Sequence < inForce.Sequence:
 		return Older
--- a/internal/core/config/load.go
+++ b/internal/core/config/load.go
@@ -67,8 +67,8 @@
 	return err
 }
 
-// Lacks reports whether content that Missing listed has not been added since.
-func (l *Loader) Lacks(hash string) bool { return len(l.requested[hash]) > 0 }
+// IsMissing reports whether content that Missing listed has not been added since.
+func (l *Loader) IsMissing(hash string) bool { return len(l.requested[hash]) > 0 }
 
 // Add decodes an index or a page. Content that Missing did not list is ignored.
 func (l *Loader) Add(hash string, value []byte) error {
--- a/internal/core/config/record_test.go
+++ b/internal/core/config/record_test.go
@@ -38,8 +38,8 @@
 	g := NewWithT(t)
 	changes := manyAccounts(5_000)
 	view := NewView()
-	view.Listed(api.KindClientAccount, 6_000, changes, Empty())
-	out, err := Accept(Attempt{InForce: Empty(), Changes: append(baseChanges(), changes...), Seen: view.Seen(), By: "vm"})
+	view.ApplyList(api.KindClientAccount, 6_000, changes, Empty())
+	out, err := Accept(AcceptInput{InForce: Empty(), Changes: append(baseChanges(), changes...), Seen: view.Seen(), By: "vm"})
 	g.Expect(err).NotTo(HaveOccurred())
 	former := view.changes
 	view.Rebase(Empty(), out.Set)
--- a/internal/core/config/release_property_test.go
+++ b/internal/core/config/release_property_test.go
@@ -58,7 +58,7 @@
 // offer offers release i of the store to the VM, which decides whether to adopt it.
 func (v *vm) offer(t *rapid.T, s *store, i int, source Source) {
 	before := v.release.Sequence
-	if Judge(v.release, s.releases[i], source) == Adopt {
+	if DecideRelease(v.release, s.releases[i], source) == Adopt {
 		values := map[string][]byte{}
 		missing, err := v.set.Missing(s.releases[i], nil)
 		if err != nil {
@@ -82,7 +82,7 @@
 // accept builds the next release from the VM's view and the release that it knows,
 // and writes it if the store's newest release is still that one.
 func (v *vm) accept(t *rapid.T, s *store) {
-	out, err := Accept(Attempt{InForce: v.set, Release: v.release, Changes: v.view.Changes(), Seen: v.view.Seen(), By: "vm"})
+	out, err := Accept(AcceptInput{InForce: v.set, Release: v.release, Changes: v.view.Changes(), Seen: v.view.Seen(), By: "vm"})
 	if err != nil && !IsConflict(err) {
 		t.Fatalf("accept: %v", err)
 	}
@@ -141,7 +141,7 @@
 				from := recent(t, int(v.view.seen[api.KindModel]), "from")
 				to := rapid.IntRange(from, len(s.events)).Draw(t, "to")
 				for _, change := range s.events[from:to] {
-					v.view.Watched(change, v.set)
+					v.view.ApplyEvent(change, v.set)
 				}
 			},
 			"accept": func(t *rapid.T) { pick(t).accept(t, s) },
@@ -159,7 +159,7 @@
 	for _, change := range s.history[at] {
 		items = append(items, change)
 	}
-	v.view.Listed(api.KindModel, uint64(at), items, v.set)
+	v.view.ApplyList(api.KindModel, uint64(at), items, v.set)
 }
 
 // checkConvergence gives every VM the newest release and list, and checks that every
--- a/internal/core/config/view.go
+++ b/internal/core/config/view.go
@@ -34,10 +34,10 @@
 // Seen returns, by kind, the platform's version up to which records have been observed.
 func (v *View) Seen() map[api.Kind]uint64 { return maps.Clone(v.seen) }
 
-// Listed applies a full list of a kind, taken at a version of the platform. It
+// ApplyList applies a full list of a kind, taken at a version of the platform. It
 // returns false and changes nothing if something newer has been observed: a
 // delayed list must not undo later watch events.
-func (v *View) Listed(kind api.Kind, version uint64, items []Change, inForce *Set) bool {
+func (v *View) ApplyList(kind api.Kind, version uint64, items []Change, inForce *Set) bool {
 	if version < v.seen[kind] {
 		return false
 	}
@@ -56,10 +56,10 @@
 	return true
 }
 
-// Watched applies a watch event. It returns false and changes nothing if the event
+// ApplyEvent applies a watch event. It returns false and changes nothing if the event
 // or something newer of the kind has been observed: events are repeated after a
 // reconnection. Within one watch they arrive in order.
-func (v *View) Watched(change Change, inForce *Set) bool {
+func (v *View) ApplyEvent(change Change, inForce *Set) bool {
 	if change.Version <= v.seen[change.Kind] {
 		return false
 	}
@@ -68,11 +68,11 @@
 	return true
 }
 
-// Bookmarked applies a bookmark event: the platform's confirmation that all events
+// ApplyBookmark applies a bookmark event: the platform's confirmation that all events
 // of a kind up to a version have been sent. Without bookmarks, a kind without
 // writes would leave a VM's view older than another VM's release, and the VM
 // could never accept changes.
-func (v *View) Bookmarked(kind api.Kind, version uint64) {
+func (v *View) ApplyBookmark(kind api.Kind, version uint64) {
 	v.seen[kind] = max(v.seen[kind], version)
 }
 
--- a/internal/core/config/view_test.go
+++ b/internal/core/config/view_test.go
@@ -23,12 +23,12 @@
 	f := newFixture(t)
 	view := NewView()
 	model := baseChanges()[0]
-	f.Expect(view.Listed(api.KindModel, 8, []Change{model}, f.set)).To(BeTrue())
-	f.Expect(view.Watched(recordChange(api.KindModel, "n", 10, "v1", `{"layers":1,"version":"w"}`), f.set)).To(BeTrue())
-	f.Expect(view.Listed(api.KindModel, 9, []Change{model}, f.set)).To(BeFalse())
+	f.Expect(view.ApplyList(api.KindModel, 8, []Change{model}, f.set)).To(BeTrue())
+	f.Expect(view.ApplyEvent(recordChange(api.KindModel, "n", 10, "v1", `{"layers":1,"version":"w"}`), f.set)).To(BeTrue())
+	f.Expect(view.ApplyList(api.KindModel, 9, []Change{model}, f.set)).To(BeFalse())
 	f.Expect(names(view.Changes())).To(Equal([]string{"n@10"}))
 	f.Expect(view.Seen()).To(Equal(map[api.Kind]uint64{api.KindModel: 10}))
-	f.Expect(view.Listed(api.KindModel, 11, nil, f.set)).To(BeTrue())
+	f.Expect(view.ApplyList(api.KindModel, 11, nil, f.set)).To(BeTrue())
 	f.Expect(names(view.Changes())).To(Equal([]string{"m@11"}), "a newer list without the model means that it was deleted")
 }
 
@@ -39,9 +39,9 @@
 	view := NewView()
 	bad := recordChange(api.KindModel, "n", 10, "v1", `{"layers":0,"version":"w"}`)
 	good := recordChange(api.KindModel, "n", 11, "v1", `{"layers":1,"version":"w"}`)
-	f.Expect(view.Watched(bad, f.set)).To(BeTrue())
-	f.Expect(view.Watched(good, f.set)).To(BeTrue())
-	f.Expect(view.Watched(bad, f.set)).To(BeFalse())
+	f.Expect(view.ApplyEvent(bad, f.set)).To(BeTrue())
+	f.Expect(view.ApplyEvent(good, f.set)).To(BeTrue())
+	f.Expect(view.ApplyEvent(bad, f.set)).To(BeFalse())
 	f.Expect(names(view.Changes())).To(Equal([]string{"n@11"}))
 }
 
@@ -54,15 +54,15 @@
 	mine := recordChange(api.KindModel, "mine", 10, "v1", `{"layers":0,"version":"w"}`)
 	both := recordChange(api.KindModel, "both", 11, "v1", `{"layers":1,"version":"w"}`)
 	unseen := recordChange(api.KindModel, "unseen", 12, "v1", `{"layers":1,"version":"w"}`)
-	view.Watched(mine, f.set)
-	view.Watched(both, f.set)
+	view.ApplyEvent(mine, f.set)
+	view.ApplyEvent(both, f.set)
 	former := f.set
 	f.accept(both, unseen)
 	view.Rebase(former, f.set)
 	f.Expect(names(view.Changes())).To(Equal([]string{"mine@10", "unseen@11"}), "the view has not observed the record unseen")
-	_, err := Accept(Attempt{InForce: f.set, Release: f.release, Changes: view.Changes(), Seen: view.Seen()})
+	_, err := Accept(AcceptInput{InForce: f.set, Release: f.release, Changes: view.Changes(), Seen: view.Seen()})
 	f.Expect(err).To(MatchError(ErrStaleView), "a view that is behind the release must not accept")
-	view.Watched(unseen, f.set)
+	view.ApplyEvent(unseen, f.set)
 	f.Expect(names(view.Changes())).To(Equal([]string{"mine@10"}))
 }
 
@@ -85,7 +85,7 @@
 		{release(7, "a"), release(8+maxPeerLead, "b"), FromPeer, Implausible},
 		{release(7, "a"), release(8+maxPeerLead, "b"), FromPlatform, Adopt},
 	} {
-		NewWithT(t).Expect(Judge(c.inForce, c.offered, c.source)).To(Equal(c.want), "%d after %d from %s", c.offered.Sequence, c.inForce.Sequence, c.source)
+		NewWithT(t).Expect(DecideRelease(c.inForce, c.offered, c.source)).To(Equal(c.want), "%d after %d from %s", c.offered.Sequence, c.inForce.Sequence, c.source)
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -94,26 +94,26 @@
 		return m.requestArrived(now, e)
 	case AttemptEnded:
 		return m.attemptEnded(now, e)
-	case CallerGone:
+	case CallerDisconnected:
 		return m.callerDisconnected(now, e)
 	case ClaimDecided:
 		return m.claimDecided(now, e)
 	case ClaimPeeked:
 		return m.claimPeeked(now, e)
-	case AccountUsage:
+	case RemoteAccountUsage:
 		return m.remoteAccountUsage(now, e)
 	case VMsCounted:
 		m.lifecycle.admission.SetLiveVMs(e.Live)
 		return nil
-	case PoisonLearned:
+	case PoisonFindingReceived:
 		return m.poisonFindingReceived(now, e)
 	case SuspicionConfirmed:
 		return m.suspicionConfirmed(now, e)
 	case ServerObserved:
 		return m.requestsServerObserved(now, e)
-	case ServerSilent:
+	case ServerProbeFailed:
 		return m.requestsProbeFailed(now, e)
-	case AttemptFlowing, FleetTick:
+	case AttemptStreaming, FleetTick:
 		return m.finishStep(now)
 	case Tick:
 		return m.tick(now)
--- a/internal/core/digest/delta.go
+++ b/internal/core/digest/delta.go
@@ -19,20 +19,20 @@
 
 // Watermarks returns the watermarks of a stream for all origins of a data centre,
 // sorted by ID.
-func (s *Store) Marks(dataCentre string, stream Stream) []Mark {
-	var watermarks []Mark
+func (s *Store) Watermarks(dataCentre string, stream Stream) []Watermark {
+	var watermarks []Watermark
 	for id, r := range s.replicas {
 		if r.origin.DataCentre == dataCentre {
-			watermarks = append(watermarks, Mark{ID: id, Version: r.streamOf(stream).version})
+			watermarks = append(watermarks, Watermark{ID: id, Version: r.streamOf(stream).version})
 		}
 	}
-	slices.SortFunc(watermarks, func(a, b Mark) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(watermarks, func(a, b Watermark) int { return cmp.Compare(a.ID, b.ID) })
 	return watermarks
 }
 
 // OriginsHash returns a hash of the set of origins of a data centre. Two VMs with
 // the same hash can exchange watermarks without IDs.
-func (s *Store) Members(dataCentre string) uint64 {
+func (s *Store) OriginsHash(dataCentre string) uint64 {
 	var sum uint64
 	for id, r := range s.replicas {
 		if r.origin.DataCentre == dataCentre {
@@ -45,13 +45,13 @@
 // Deltas returns the changes of a data centre that a VM with the given watermarks
 // lacks, sorted by ID, up to about budget bytes. The rest is sent in a later
 // exchange.
-func (s *Store) Deltas(dataCentre string, stream Stream, known []Mark, budget int) []Delta {
+func (s *Store) Deltas(dataCentre string, stream Stream, known []Watermark, budget int) []Delta {
 	versions := make(map[ID]uint64, len(known))
 	for _, watermark := range known {
 		versions[watermark.ID] = watermark.Version
 	}
 	var deltas []Delta
-	for _, watermark := range s.Marks(dataCentre, stream) {
+	for _, watermark := range s.Watermarks(dataCentre, stream) {
 		after, found := versions[watermark.ID]
 		if watermark.Version <= after && (found || stream == Local) {
 			continue
@@ -69,7 +69,7 @@
 // HeartbeatOnly returns the origins of which a VM with the given watermarks lacks
 // only heartbeats, with their current versions. Deltas for them would cost ten times
 // the bytes.
-func (s *Store) Bare(dataCentre string, known []Mark) map[ID]uint64 {
+func (s *Store) HeartbeatOnly(dataCentre string, known []Watermark) map[ID]uint64 {
 	versions := make(map[ID]uint64)
 	for _, watermark := range known {
 		r, ok := s.replicas[watermark.ID]
@@ -96,7 +96,7 @@
 
 // EntryDelta returns single entries of a VM's State, to be pushed at once. It moves
 // no watermark, so a VM that lacks earlier changes still requests them.
-func (s *Store) Pick(name string, keys ...string) (Delta, bool) {
+func (s *Store) EntryDelta(name string, keys ...string) (Delta, bool) {
 	r, ok := s.replicas[s.byName[name]]
 	if !ok {
 		return Delta{}, false
@@ -115,7 +115,7 @@
 	delta := Delta{ID: r.id, Stream: stream, After: after, Upto: current.version}
 	size := deltaOverhead
 	if stream == State {
-		delta.Purged = current.purged
+		delta.PurgedVersion = current.purged
 	}
 	if stream == State && after == 0 {
 		delta.Origin = r.origin
--- a/internal/core/digest/digest.go
+++ b/internal/core/digest/digest.go
@@ -61,7 +61,7 @@
 }
 
 // Watermark is the version up to which an origin's stream is completely known.
-type Mark struct {
+type Watermark struct {
 	ID      ID
 	Version uint64
 }
@@ -80,9 +80,9 @@
 	Reset bool
 	// PurgedVersion is the version of the newest tombstone of State that the origin
 	// has purged.
-	Purged  uint64
-	Entries []Entry
-	Gauges  []Gauge
+	PurgedVersion uint64
+	Entries       []Entry
+	Gauges        []Gauge
 }
 
 // Change is an entry that a merge has changed.
--- a/internal/core/digest/digest_test.go
+++ b/internal/core/digest/digest_test.go
@@ -26,7 +26,7 @@
 func syncStores(from, to *digest.Store, budget int) []digest.Delta {
 	var sent []digest.Delta
 	for _, stream := range []digest.Stream{digest.State, digest.Local} {
-		sent = append(sent, from.Deltas(here, stream, to.Marks(here, stream), budget)...)
+		sent = append(sent, from.Deltas(here, stream, to.Watermarks(here, stream), budget)...)
 	}
 	to.Merge(sent)
 	return sent
@@ -62,15 +62,18 @@
 			m.stores[i].Put(key, []byte(value))
 			m.written[i][key] = value
 		},
-		"beat":  func(t *rapid.T) { m.stores[vm.Draw(t, "vm")].Beat() },
-		"purge": func(t *rapid.T) { i := vm.Draw(t, "vm"); m.stores[i].Purge(m.stores[i].Version(digest.State)) },
+		"beat": func(t *rapid.T) { m.stores[vm.Draw(t, "vm")].Heartbeat() },
+		"purge": func(t *rapid.T) {
+			i := vm.Draw(t, "vm")
+			m.stores[i].PurgeTombstones(m.stores[i].Version(digest.State))
+		},
 		"exchange": func(t *rapid.T) {
 			from, to := m.stores[vm.Draw(t, "from")], m.stores[vm.Draw(t, "to")]
 			m.sent = append(m.sent, syncStores(from, to, rapid.SampledFrom([]int{1, 40, 1 << 20}).Draw(t, "budget"))...)
 		},
 		"pushOne": func(t *rapid.T) {
 			i := vm.Draw(t, "from")
-			if delta, ok := m.stores[i].Pick(fmt.Sprintf("vm-%d", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")); ok {
+			if delta, ok := m.stores[i].EntryDelta(fmt.Sprintf("vm-%d", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")); ok {
 				m.sent = append(m.sent, delta)
 				m.stores[vm.Draw(t, "to")].Merge([]digest.Delta{delta})
 			}
@@ -87,7 +90,7 @@
 // check fails if a watermark goes down.
 func (m *fleetModel) check(t *rapid.T) {
 	for i, store := range m.stores {
-		for _, watermark := range store.Marks(here, digest.State) {
+		for _, watermark := range store.Watermarks(here, digest.State) {
 			if watermark.Version < m.watermarks[i][watermark.ID] {
 				t.Fatalf("vm-%d: watermark of %d went from %d to %d", i, watermark.ID, m.watermarks[i][watermark.ID], watermark.Version)
 			}
@@ -136,7 +139,7 @@
 		if got := state(store, fmt.Sprintf("vm-%d", i)); !maps.Equal(got, m.written[i]) {
 			t.Fatalf("vm-%d holds %v of vm-%d, which wrote %v", j, got, i, m.written[i])
 		}
-		if store.Sum(here) != m.stores[0].Sum(here) {
+		if store.StateHash(here) != m.stores[0].StateHash(here) {
 			t.Fatalf("equal states have different hashes")
 		}
 	}
@@ -148,11 +151,11 @@
 	g := NewWithT(t)
 	a, b := digest.NewStore(origin("a", 1)), digest.NewStore(origin("b", 1))
 	b.Put("s/x", []byte("silent"))
-	late, ok := b.Pick("b", "s/x")
+	late, ok := b.EntryDelta("b", "s/x")
 	g.Expect(ok).To(BeTrue())
 	b.Put("s/x", nil)
 	syncStores(b, a, 1<<20)
-	b.Purge(b.Version(digest.State))
+	b.PurgeTombstones(b.Version(digest.State))
 	syncStores(b, a, 1<<20)
 	g.Expect(a.Merge([]digest.Delta{late}).Changes).To(BeEmpty())
 	g.Expect(state(a, "b")).To(BeEmpty())
--- a/internal/core/digest/merge.go
+++ b/internal/core/digest/merge.go
@@ -5,26 +5,26 @@
 	// Changes are the entries that are new to this store.
 	Changes []Change
 	// Gauges are the gauges that are new to this store.
-	Gauges []FreshGauge
+	Gauges []GaugeUpdate
 	// Heartbeats lists the VMs whose Local stream has advanced.
-	Beats []string
+	Heartbeats []string
 	// Joined are the origins seen for the first time. Replaced are the origins of
 	// earlier processes that they supersede.
 	Joined   []Origin
 	Replaced []Origin
 	// ConflictingIncarnation is an incarnation of this VM's name that is not lower
 	// than its own; 0 if none.
-	Rival uint64
+	ConflictingIncarnation uint64
 }
 
 // GaugeUpdate is a gauge that is new to this store.
-type FreshGauge struct {
+type GaugeUpdate struct {
 	Key   uint32
 	Level uint32
 	// Witness is the VM that measured it.
 	Witness string
 	// HeartbeatsAgo is the age of the measurement in heartbeats of the witness.
-	Beats uint64
+	HeartbeatsAgo uint64
 }
 
 // Merge applies deltas. Changes that are not newer than the known state are ignored.
@@ -38,7 +38,7 @@
 
 // ApplyHeartbeats applies heartbeats without other changes, as returned by
 // HeartbeatOnly, and returns the VMs that have advanced.
-func (s *Store) Beats(watermarks []Mark) []string {
+func (s *Store) ApplyHeartbeats(watermarks []Watermark) []string {
 	var names []string
 	for _, watermark := range watermarks {
 		r, ok := s.replicas[watermark.ID]
@@ -79,7 +79,7 @@
 	}
 	if delta.Origin.Name == s.self.origin.Name {
 		if delta.Origin.Incarnation >= s.self.origin.Incarnation {
-			merged.Rival = max(merged.Rival, delta.Origin.Incarnation)
+			merged.ConflictingIncarnation = max(merged.ConflictingIncarnation, delta.Origin.Incarnation)
 		}
 		return nil
 	}
@@ -109,9 +109,9 @@
 	if delta.After <= r.state.version && delta.Upto > r.state.version {
 		s.setStateVersion(r, delta.Upto)
 	}
-	if r.state.version >= delta.Purged {
-		r.state.purgeTombstones(delta.Purged)
-		r.state.purged = max(r.state.purged, delta.Purged)
+	if r.state.version >= delta.PurgedVersion {
+		r.state.purgeTombstones(delta.PurgedVersion)
+		r.state.purged = max(r.state.purged, delta.PurgedVersion)
 	}
 }
 
@@ -141,13 +141,13 @@
 			continue
 		}
 		r.gauges[gauge.Key] = gauge
-		merged.Gauges = append(merged.Gauges, FreshGauge{
-			Key: gauge.Key, Level: gauge.Level, Witness: r.origin.Name, Beats: delta.Upto - min(gauge.Version, delta.Upto),
+		merged.Gauges = append(merged.Gauges, GaugeUpdate{
+			Key: gauge.Key, Level: gauge.Level, Witness: r.origin.Name, HeartbeatsAgo: delta.Upto - min(gauge.Version, delta.Upto),
 		})
 	}
 	if delta.After <= r.local.version && delta.Upto > r.local.version {
 		r.local.version = delta.Upto
-		merged.Beats = append(merged.Beats, r.origin.Name)
+		merged.Heartbeats = append(merged.Heartbeats, r.origin.Name)
 	}
 }
 
--- a/internal/core/digest/store.go
+++ b/internal/core/digest/store.go
@@ -113,12 +113,12 @@
 func (s *Store) DropGauge(key uint32) { delete(s.self.gauges, key) }
 
 // Heartbeat increments the version of this VM's Local stream.
-func (s *Store) Beat() { s.self.local.version++ }
+func (s *Store) Heartbeat() { s.self.local.version++ }
 
 // SetIncarnation moves this VM's replica to a higher incarnation. It is needed when
 // an earlier process with the same name has a higher one, for example after the
 // clock was set back.
-func (s *Store) Rebirth(incarnation uint64) {
+func (s *Store) SetIncarnation(incarnation uint64) {
 	old := s.self
 	s.remove(old.id)
 	origin := old.origin
@@ -133,7 +133,7 @@
 
 // PurgeTombstones removes the tombstones of this VM's State up to a version, here
 // and, with the next exchange, on the other VMs.
-func (s *Store) Purge(upto uint64) {
+func (s *Store) PurgeTombstones(upto uint64) {
 	before := s.self.state.purged
 	if s.self.state.purgeTombstones(upto); s.self.state.purged > before {
 		s.setStateVersion(s.self, s.self.state.version+1)
@@ -183,7 +183,7 @@
 func (s *Store) DataCentres() []string { return slices.Sorted(maps.Keys(s.stateHashes)) }
 
 // StateHash returns a hash of the State watermarks of a data centre.
-func (s *Store) Sum(dataCentre string) uint64 { return s.stateHashes[dataCentre] }
+func (s *Store) StateHash(dataCentre string) uint64 { return s.stateHashes[dataCentre] }
 
 // Entry returns the value of an entry of a VM's newest process.
 func (s *Store) Entry(name string, stream Stream, key string) ([]byte, bool) {
--- a/internal/core/fleet/types.go
+++ b/internal/core/fleet/types.go
@@ -110,7 +110,7 @@
 }
 
 // PlatformEntry is an entry of the platform's list, which lags behind the real state.
-type Listed struct {
+type PlatformEntry struct {
 	Name    string `json:"name"`
 	Leaving bool   `json:"leaving,omitempty"`
 }
--- a/internal/core/fleet/view.go
+++ b/internal/core/fleet/view.go
@@ -24,7 +24,7 @@
 	Restarts []Restart
 	// ProbeNow lists the servers that this VM should probe now, because some VM
 	// can't reach them.
-	Doubtful []string
+	ProbeNow []string
 }
 
 // View is one VM's view of the health of all backend servers. It is not safe for
@@ -90,7 +90,7 @@
 
 // ApplyReport applies a backend server's own report, which is also a successful
 // probe.
-func (v *View) Reported(now time.Duration, report Report) {
+func (v *View) ApplyReport(now time.Duration, report Report) {
 	s, ok := v.servers[report.Server]
 	if !ok {
 		return
@@ -103,7 +103,7 @@
 
 // ObserveIncarnation applies an incarnation that another VM observed. Such reports
 // can be late, so only a higher incarnation than the known one counts.
-func (v *View) Told(name string, incarnation uint64) {
+func (v *View) ObserveIncarnation(name string, incarnation uint64) {
 	s, ok := v.servers[name]
 	if !ok || incarnation <= s.incarnation {
 		return
@@ -126,7 +126,7 @@
 }
 
 // RequestSucceeded records a request that a backend server answered.
-func (v *View) Worked(now time.Duration, name string) {
+func (v *View) RequestSucceeded(now time.Duration, name string) {
 	s, ok := v.servers[name]
 	if !ok {
 		return
@@ -140,7 +140,7 @@
 
 // RequestFailed records a request whose connection to a backend server broke or
 // timed out.
-func (v *View) Broke(now time.Duration, name string) {
+func (v *View) RequestFailed(now time.Duration, name string) {
 	if s, ok := v.servers[name]; ok {
 		s.link.requestFailed(now, v.options)
 		v.markDirty(name)
@@ -150,7 +150,7 @@
 // ProbingStopped discards the server's own report, because this VM no longer probes
 // it. Otherwise the VM would not learn that the server stays after all, and its
 // outdated report would make all VMs avoid the server.
-func (v *View) Unwatched(name string) {
+func (v *View) ProbingStopped(name string) {
 	if s, ok := v.servers[name]; ok && s.reportedLeaving {
 		s.reportedLeaving = false
 		v.markDirty(name)
@@ -158,7 +158,7 @@
 }
 
 // ProbeFailed records a probe that timed out.
-func (v *View) Failed(now time.Duration, name string) {
+func (v *View) ProbeFailed(now time.Duration, name string) {
 	if s, ok := v.servers[name]; ok {
 		s.link.recordFailure(now, v.options.FailureThreshold)
 		v.markDirty(name)
@@ -166,7 +166,7 @@
 }
 
 // ConnectionRefused records a connection that a backend server refused.
-func (v *View) Refused(now time.Duration, name string) {
+func (v *View) ConnectionRefused(now time.Duration, name string) {
 	if s, ok := v.servers[name]; ok {
 		s.link.recordRefusal(now)
 		v.markDirty(name)
@@ -174,7 +174,7 @@
 }
 
 // SetPeerOpinion replaces the opinion of another VM.
-func (v *View) Heard(witness string, opinion Opinion) {
+func (v *View) SetPeerOpinion(witness string, opinion Opinion) {
 	s, ok := v.servers[opinion.Server]
 	if !ok || witness == v.options.Self {
 		return
@@ -187,9 +187,9 @@
 	v.markDirty(opinion.Server)
 }
 
-// ForgetWitness removes the opinions of a VM that is gone. It can't withdraw them
+// RemoveWitness removes the opinions of a VM that is gone. It can't withdraw them
 // any more, so they would keep a server out of use for ever.
-func (v *View) ForgetWitness(witness string) {
+func (v *View) RemoveWitness(witness string) {
 	for name, s := range v.servers {
 		if _, ok := s.peerOpinions[witness]; ok {
 			delete(s.peerOpinions, witness)
@@ -201,7 +201,7 @@
 // ApplyPlatformList applies the platform's list. A server missing from the list
 // keeps its state: the list may not include it yet, so its absence doesn't prove
 // that it is gone.
-func (v *View) Listed(list []Listed) {
+func (v *View) ApplyPlatformList(list []PlatformEntry) {
 	for _, entry := range list {
 		s, ok := v.servers[entry.Name]
 		if ok && s.listedLeaving != entry.Leaving {
@@ -242,7 +242,7 @@
 		if !sameStatus(next, s.status) {
 			changes.Statuses = append(changes.Statuses, next)
 			if next.State == Suspect || next.State == Gone {
-				changes.Doubtful = append(changes.Doubtful, name)
+				changes.ProbeNow = append(changes.ProbeNow, name)
 			}
 		}
 		s.status = next
--- a/internal/core/fleet/view_test.go
+++ b/internal/core/fleet/view_test.go
@@ -51,11 +51,11 @@
 }
 
 func (f *fixture) report(incarnation uint64, leaving bool) {
-	f.view.Reported(f.now, fleet.Report{Server: server, Incarnation: incarnation, Leaving: leaving})
+	f.view.ApplyReport(f.now, fleet.Report{Server: server, Incarnation: incarnation, Leaving: leaving})
 }
 
 func (f *fixture) peerReports(witness string, reach fleet.Reachability) {
-	f.view.Heard(witness, fleet.Opinion{Server: server, Reach: reach})
+	f.view.SetPeerOpinion(witness, fleet.Opinion{Server: server, Reach: reach})
 }
 
 // One VM's link breaks and it reports the server as unreachable. A single witness
@@ -64,7 +64,7 @@
 	f := newFixture(t)
 	f.peerReports("vm-2", fleet.ConnectionRefused)
 	changes := f.changes()
-	f.Expect(changes.Doubtful).To(ConsistOf(server), "this VM probes the server itself")
+	f.Expect(changes.ProbeNow).To(ConsistOf(server), "this VM probes the server itself")
 	f.Expect(f.status()).To(And(HaveField("State", fleet.Suspect), HaveField("Eligible", true)))
 }
 
@@ -73,9 +73,9 @@
 func TestAVMStopsUsingAServerThatItCannotReachItself(t *testing.T) {
 	f := newFixture(t)
 	f.report(1, false)
-	f.view.Failed(f.now, server)
+	f.view.ProbeFailed(f.now, server)
 	f.Expect(f.status()).To(And(HaveField("State", fleet.Suspect), HaveField("Eligible", true)), "one timeout is no proof")
-	f.view.Failed(f.now, server)
+	f.view.ProbeFailed(f.now, server)
 	f.Expect(f.status()).To(And(HaveField("State", fleet.Suspect), HaveField("Eligible", false)))
 	f.report(1, false)
 	f.Expect(f.status()).To(And(HaveField("State", fleet.Live), HaveField("Eligible", true)))
@@ -83,7 +83,7 @@
 
 func TestARefusedConnectionIsProofForTheVMThatSawIt(t *testing.T) {
 	f := newFixture(t)
-	f.view.Refused(f.now, server)
+	f.view.ConnectionRefused(f.now, server)
 	f.Expect(f.changes().Opinions).To(ConsistOf(fleet.Opinion{Server: server, Reach: fleet.ConnectionRefused}))
 	f.Expect(f.status()).To(HaveField("Eligible", false))
 }
@@ -106,8 +106,8 @@
 	f.peerReports("vm-2", fleet.Unresponsive)
 	f.peerReports("vm-3", fleet.Unresponsive)
 	f.Expect(f.status()).To(HaveField("State", fleet.Gone))
-	f.view.ForgetWitness("vm-2")
-	f.view.ForgetWitness("vm-3")
+	f.view.RemoveWitness("vm-2")
+	f.view.RemoveWitness("vm-3")
 	f.Expect(f.status()).To(HaveField("State", fleet.Live))
 }
 
@@ -117,8 +117,8 @@
 	f := newFixture(t)
 	for range 3 {
 		f.report(1, false)
-		f.view.Failed(f.now, server)
-		f.view.Failed(f.now, server)
+		f.view.ProbeFailed(f.now, server)
+		f.view.ProbeFailed(f.now, server)
 		f.after(time.Second)
 	}
 	f.report(1, false)
@@ -135,7 +135,7 @@
 func TestAnEngineThatAnswersOnlyProbesIsPaused(t *testing.T) {
 	f := newFixture(t)
 	for range 3 {
-		f.view.Broke(f.now, server)
+		f.view.RequestFailed(f.now, server)
 		f.report(1, false)
 	}
 	f.Expect(f.status()).To(HaveField("Eligible", false))
@@ -148,12 +148,12 @@
 // that a server is leaving.
 func TestALeavingServerIsKnownToAVMThatCannotSeeTheList(t *testing.T) {
 	sees, blind := newFixture(t), newFixture(t)
-	sees.view.Listed([]fleet.Listed{{Name: server, Leaving: true}})
+	sees.view.ApplyPlatformList([]fleet.PlatformEntry{{Name: server, Leaving: true}})
 	opinions := sees.changes().Opinions
 	sees.Expect(opinions).To(HaveLen(1))
-	blind.view.Heard("vm-2", opinions[0])
+	blind.view.SetPeerOpinion("vm-2", opinions[0])
 	blind.Expect(blind.status()).To(And(HaveField("State", fleet.Leaving), HaveField("Eligible", false)))
-	blind.view.Listed([]fleet.Listed{{Name: server, Leaving: true}})
+	blind.view.ApplyPlatformList([]fleet.PlatformEntry{{Name: server, Leaving: true}})
 	blind.Expect(blind.changes().Opinions).To(BeEmpty(), "an opinion that is already known is not published again")
 }
 
@@ -162,7 +162,7 @@
 func TestANewProcessIsNotLeavingBecauseTheOldOneWas(t *testing.T) {
 	f := newFixture(t)
 	f.report(7, true)
-	f.view.Heard("vm-2", fleet.Opinion{Server: server, Incarnation: 7, Leaving: true})
+	f.view.SetPeerOpinion("vm-2", fleet.Opinion{Server: server, Incarnation: 7, Leaving: true})
 	f.Expect(f.status()).To(HaveField("State", fleet.Leaving))
 	f.report(8, false)
 	changes := f.changes()
@@ -177,7 +177,7 @@
 	f := newFixture(t)
 	f.report(1, true)
 	f.Expect(f.changes().Opinions).To(ConsistOf(HaveField("Leaving", true)))
-	f.view.Unwatched(server)
+	f.view.ProbingStopped(server)
 	f.Expect(f.changes().Opinions).To(ConsistOf(fleet.Opinion{Server: server}), "the opinion is withdrawn")
 	f.Expect(f.status()).To(HaveField("State", fleet.Live))
 }
@@ -201,8 +201,8 @@
 			view.SetRecords([]fleet.Record{{Name: server}})
 			view.SetVMs(9)
 			for _, i := range order {
-				view.Heard(witnesses[i], opinions[i])
-				view.Heard(witnesses[i], opinions[i])
+				view.SetPeerOpinion(witnesses[i], opinions[i])
+				view.SetPeerOpinion(witnesses[i], opinions[i])
 			}
 			view.Changes(0)
 			status, _ := view.Status(server)
@@ -244,15 +244,15 @@
 	}
 	for _, record := range records[:10] {
 		for _, witness := range []string{"vm-2", "vm-3"} {
-			view.Heard(witness, fleet.Opinion{Server: record.Name, Incarnation: 1, Reach: fleet.Unresponsive})
+			view.SetPeerOpinion(witness, fleet.Opinion{Server: record.Name, Incarnation: 1, Reach: fleet.Unresponsive})
 		}
 	}
 	expect(fleet.Gone)
 	for _, record := range records[:10] {
 		for _, witness := range []string{"vm-2", "vm-3"} {
-			view.Heard(witness, fleet.Opinion{Server: record.Name})
+			view.SetPeerOpinion(witness, fleet.Opinion{Server: record.Name})
 		}
-		view.Told(record.Name, 2)
+		view.ObserveIncarnation(record.Name, 2)
 	}
 	expect(fleet.Live)
 }
--- a/internal/core/fleet/vms.go
+++ b/internal/core/fleet/vms.go
@@ -9,16 +9,16 @@
 )
 
 // VMDetectorOptions are the settings of the failure detector for VMs.
-type VMOptions struct {
+type VMDetectorOptions struct {
 	// Self and DataCentre are this VM's name and data centre.
 	Self       string
 	DataCentre string
 	// HeartbeatInterval is the interval between heartbeats.
-	Round time.Duration
-	// FarGoneAfter is the time without contact after which a VM of another data
+	HeartbeatInterval time.Duration
+	// RemoteGoneAfter is the time without contact after which a VM of another data
 	// centre is Gone. Its heartbeats don't reach this data centre; answers to calls
 	// replace them.
-	FarGoneAfter time.Duration
+	RemoteGoneAfter time.Duration
 	// ForgetAfter is how long a VM that is Gone is remembered.
 	ForgetAfter time.Duration
 	// PausedAfter is the delay between two ticks above which this VM assumes that it
@@ -27,7 +27,7 @@
 }
 
 // VMStatus is the state of one VM as this VM sees it.
-type VM struct {
+type VMStatus struct {
 	Name       string        `json:"name"`
 	DataCentre string        `json:"dataCentre"`
 	State      State         `json:"state"`
@@ -46,7 +46,7 @@
 )
 
 type vmRecord struct {
-	status         VM
+	status         VMStatus
 	lastContact    time.Duration
 	refused        bool
 	leaving        bool
@@ -55,32 +55,32 @@
 }
 
 // VMDetector detects failures of the other VMs. It is not safe for concurrent use.
-type VMs struct {
-	options  VMOptions
+type VMDetector struct {
+	options  VMDetectorOptions
 	vms      map[string]*vmRecord
 	lastTick time.Duration
 }
 
-// NewVMs returns a failure detector that knows no VMs.
-func NewVMs(options VMOptions) *VMs {
-	return &VMs{options: options, vms: make(map[string]*vmRecord)}
+// NewVMDetector returns a failure detector that knows no VMs.
+func NewVMDetector(options VMDetectorOptions) *VMDetector {
+	return &VMDetector{options: options, vms: make(map[string]*vmRecord)}
 }
 
 // Add adds a process of a VM that is seen for the first time. Evidence against an
 // earlier process with the same name is discarded.
-func (v *VMs) Met(now time.Duration, name, dataCentre string) {
+func (v *VMDetector) Add(now time.Duration, name, dataCentre string) {
 	if name == v.options.Self {
 		return
 	}
 	v.vms[name] = &vmRecord{
-		status:         VM{Name: name, DataCentre: dataCentre, Since: now},
+		status:         VMStatus{Name: name, DataCentre: dataCentre, Since: now},
 		lastContact:    now,
 		reportedDownBy: make(map[string]struct{}),
 	}
 }
 
 // RecordContact records contact with a VM: a new heartbeat or an answer to a call.
-func (v *VMs) Sign(now time.Duration, name string) {
+func (v *VMDetector) RecordContact(now time.Duration, name string) {
 	if vm, ok := v.vms[name]; ok {
 		vm.lastContact = now
 		vm.refused = false
@@ -89,7 +89,7 @@
 
 // ConnectionRefused records that a VM refused a connection, which proves that no
 // process listens.
-func (v *VMs) Refused(name string) {
+func (v *VMDetector) ConnectionRefused(name string) {
 	if vm, ok := v.vms[name]; ok {
 		vm.refused = true
 	}
@@ -97,14 +97,14 @@
 
 // SetLeaving sets whether a VM reports that it is shutting down (leaving), or that it
 // has stopped (left).
-func (v *VMs) Leaving(name string, leaving, left bool) {
+func (v *VMDetector) SetLeaving(name string, leaving, left bool) {
 	if vm, ok := v.vms[name]; ok {
 		vm.leaving, vm.left = leaving, left
 	}
 }
 
 // SetDownReport sets whether a VM reports another VM of its data centre as down.
-func (v *VMs) Heard(witness, name string, down bool) {
+func (v *VMDetector) SetDownReport(witness, name string, down bool) {
 	vm, ok := v.vms[name]
 	switch {
 	case !ok:
@@ -118,14 +118,14 @@
 // Tick updates the states and returns those that changed, sorted by name. If the
 // tick itself is late, this VM was paused and missed the heartbeats of the others,
 // so their timeouts restart.
-func (v *VMs) Tick(now time.Duration) []VM {
+func (v *VMDetector) Tick(now time.Duration) []VMStatus {
 	if late := now - v.lastTick; v.lastTick != 0 && late > v.options.PausedAfter {
 		for _, vm := range v.vms {
 			vm.lastContact = now
 		}
 	}
 	v.lastTick = now
-	var changed []VM
+	var changed []VMStatus
 	localSuspectAfter := v.suspectAfter()
 	for _, name := range slices.Sorted(maps.Keys(v.vms)) {
 		vm := v.vms[name]
@@ -140,18 +140,18 @@
 	return changed
 }
 
-func (v *VMs) forgetWitness(name string) {
+func (v *VMDetector) forgetWitness(name string) {
 	for _, vm := range v.vms {
 		delete(vm.reportedDownBy, name)
 	}
 }
 
-func (v *VMs) evaluate(now time.Duration, vm *vmRecord, localSuspectAfter time.Duration) State {
+func (v *VMDetector) evaluate(now time.Duration, vm *vmRecord, localSuspectAfter time.Duration) State {
 	silence := now - vm.lastContact
 	suspectAfter, goneAfter, downReports := localSuspectAfter, goneFactor*localSuspectAfter, 0
 	if vm.status.DataCentre != v.options.DataCentre {
 		// Heartbeats don't cross data centres, so the reports of VMs there count.
-		suspectAfter, goneAfter, downReports = v.options.FarGoneAfter, v.options.FarGoneAfter, len(vm.reportedDownBy)
+		suspectAfter, goneAfter, downReports = v.options.RemoteGoneAfter, v.options.RemoteGoneAfter, len(vm.reportedDownBy)
 	}
 	refused := vm.refused && silence >= localSuspectAfter
 	switch {
@@ -168,19 +168,19 @@
 
 // suspectAfter is the heartbeat timeout after which a VM of this data centre becomes
 // Suspect.
-func (v *VMs) suspectAfter() time.Duration {
+func (v *VMDetector) suspectAfter() time.Duration {
 	localVMs := 0
 	for _, vm := range v.vms {
 		if vm.status.DataCentre == v.options.DataCentre && vm.status.State != Gone {
 			localVMs++
 		}
 	}
-	return time.Duration(suspectBaseIntervals+suspectIntervalsPerDoubling*bits.Len(uint(localVMs))) * v.options.Round
+	return time.Duration(suspectBaseIntervals+suspectIntervalsPerDoubling*bits.Len(uint(localVMs))) * v.options.HeartbeatInterval
 }
 
 // RemoveExpired removes the VMs that have been Gone for at least ForgetAfter, and
 // returns their names.
-func (v *VMs) Forgettable(now time.Duration) []string {
+func (v *VMDetector) RemoveExpired(now time.Duration) []string {
 	var names []string
 	for name, vm := range v.vms {
 		if vm.status.State == Gone && now-vm.status.Since >= v.options.ForgetAfter {
@@ -193,17 +193,17 @@
 }
 
 // Statuses lists the states of all other VMs sorted by name.
-func (v *VMs) All() []VM {
-	all := make([]VM, 0, len(v.vms))
+func (v *VMDetector) Statuses() []VMStatus {
+	all := make([]VMStatus, 0, len(v.vms))
 	for _, vm := range v.vms {
 		all = append(all, vm.status)
 	}
-	slices.SortFunc(all, func(a, b VM) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b VMStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
 // State returns the state of a VM; Gone if it is unknown.
-func (v *VMs) State(name string) State {
+func (v *VMDetector) State(name string) State {
 	if vm, ok := v.vms[name]; ok {
 		return vm.status.State
 	}
--- a/internal/core/fleet_hooks.go
+++ b/internal/core/fleet_hooks.go
@@ -32,22 +32,22 @@
 	switch e := event.(type) {
 	case ServerObserved:
 		if e.Witness == m.fleet.self {
-			view.Reported(now, fleet.Report{Server: e.Server, Incarnation: e.Incarnation, Leaving: e.Leaving})
+			view.ApplyReport(now, fleet.Report{Server: e.Server, Incarnation: e.Incarnation, Leaving: e.Leaving})
 		} else {
-			view.Told(e.Server, e.Incarnation)
+			view.ObserveIncarnation(e.Server, e.Incarnation)
 		}
-	case ServerSilent:
+	case ServerProbeFailed:
 		m.fleetProbeFailed(now, e)
-	case ServerUnwatched:
-		view.Unwatched(e.Server)
+	case ServerProbingStopped:
+		view.ProbingStopped(e.Server)
 	case ServerOpinion:
-		view.Heard(e.Witness, e.Opinion)
-	case WitnessGone:
-		view.ForgetWitness(e.Witness)
+		view.SetPeerOpinion(e.Witness, e.Opinion)
+	case WitnessRemoved:
+		view.RemoveWitness(e.Witness)
 	case VMsCounted:
 		view.SetVMs(e.Live)
 	case PlatformListed:
-		view.Listed(e.Servers)
+		view.ApplyPlatformList(e.Servers)
 	case FleetTick:
 		view.Tick(now)
 	case AttemptEnded:
@@ -63,7 +63,7 @@
 	switch e := event.(type) {
 	case AttemptEnded:
 		delete(m.fleet.attemptPaths, e.Request)
-	case CallerGone:
+	case CallerDisconnected:
 		delete(m.fleet.attemptPaths, e.Request)
 	}
 	for _, action := range actions {
@@ -73,15 +73,15 @@
 	}
 }
 
-func (m *Machine) fleetProbeFailed(now Time, e ServerSilent) {
+func (m *Machine) fleetProbeFailed(now Time, e ServerProbeFailed) {
 	if e.Witness != m.fleet.self {
 		return
 	}
 	if e.Refused {
-		m.fleet.view.Refused(now, e.Server)
+		m.fleet.view.ConnectionRefused(now, e.Server)
 		return
 	}
-	m.fleet.view.Failed(now, e.Server)
+	m.fleet.view.ProbeFailed(now, e.Server)
 }
 
 // fleetAttemptEnded updates the health of an attempt's servers from its outcome.
@@ -91,11 +91,11 @@
 	switch e.Outcome {
 	case request.Completed:
 		for _, stage := range m.fleet.attemptPaths[e.Request] {
-			m.fleet.view.Worked(now, stage.Server)
+			m.fleet.view.RequestSucceeded(now, stage.Server)
 		}
-	case request.Lost, request.Broken:
+	case request.Lost, request.Interrupted:
 		if e.Server != "" {
-			m.fleet.view.Broke(now, e.Server)
+			m.fleet.view.RequestFailed(now, e.Server)
 			return []Action{ProbeServer{Server: e.Server}}
 		}
 	case request.ProvenNotRun:
@@ -130,9 +130,9 @@
 		actions = append(actions, ServerChanged{Status: status})
 	}
 	for _, opinion := range changes.Opinions {
-		actions = append(actions, SpreadOpinion{Opinion: opinion})
+		actions = append(actions, PublishOpinion{Opinion: opinion})
 	}
-	for _, server := range changes.Doubtful {
+	for _, server := range changes.ProbeNow {
 		actions = append(actions, ProbeServer{Server: server})
 	}
 	if len(changes.Statuses) > 0 {
--- a/internal/core/history/history.go
+++ b/internal/core/history/history.go
@@ -23,9 +23,9 @@
 	return fmt.Sprintf("revision %d of history %d is beyond revision %d or history %d: the store counts differently than its protocol says", e.Revision, e.History, uint64(maxRevision), maxHistory)
 }
 
-// At returns the version for a revision of a history. 0 is the history of a store that doesn't
+// NewVersion returns the version for a revision of a history. 0 is the history of a store that doesn't
 // report one.
-func At(number, revision uint64) (Version, error) {
+func NewVersion(number, revision uint64) (Version, error) {
 	if number > maxHistory || revision > maxRevision {
 		return 0, &RangeError{History: number, Revision: revision}
 	}
--- a/internal/core/history/history_test.go
+++ b/internal/core/history/history_test.go
@@ -11,7 +11,7 @@
 )
 
 func at(t rapid.TB, number, revision uint64) history.Version {
-	version, err := history.At(number, revision)
+	version, err := history.NewVersion(number, revision)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return version
 }
@@ -38,7 +38,7 @@
 func TestVersionOutOfRangeIsAnError(t *testing.T) {
 	g := NewWithT(t)
 	for _, beyond := range [][2]uint64{{1 << 16, 1}, {1, 1 << 48}} {
-		_, err := history.At(beyond[0], beyond[1])
+		_, err := history.NewVersion(beyond[0], beyond[1])
 		ranged := new(history.RangeError)
 		g.Expect(errors.As(err, &ranged)).To(BeTrue())
 		g.Expect(err.Error()).To(ContainSubstring("history %d", beyond[0]))
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -67,8 +67,8 @@
 	Tokens int `json:"tokens"`
 }
 
-// CallerGone reports that the caller closed its connection before the request ended.
-type CallerGone struct {
+// CallerDisconnected reports that the caller closed its connection before the request ended.
+type CallerDisconnected struct {
 	Request request.ID `json:"request"`
 }
 
@@ -101,7 +101,7 @@
 }
 
 var (
-	_ = registerEvents(ConfigInForce{}, RequestArrived{}, AttemptEnded{}, CallerGone{})
+	_ = registerEvents(ConfigInForce{}, RequestArrived{}, AttemptEnded{}, CallerDisconnected{})
 	_ = registerActions(Dispatch{}, Refuse{})
 )
 
@@ -115,7 +115,7 @@
 func (AttemptEnded) EventName() string { return "attempt_ended" }
 
 // EventName implements Event.
-func (CallerGone) EventName() string { return "caller_gone" }
+func (CallerDisconnected) EventName() string { return "caller_gone" }
 
 // ActionName implements Action.
 func (Dispatch) ActionName() string { return "dispatch" }
--- a/internal/core/messages_fleet.go
+++ b/internal/core/messages_fleet.go
@@ -29,8 +29,8 @@
 	Age Time `json:"age,omitempty"`
 }
 
-// ServerSilent reports that a VM's probe of a backend server got no answer.
-type ServerSilent struct {
+// ServerProbeFailed reports that a VM's probe of a backend server got no answer.
+type ServerProbeFailed struct {
 	Server  string `json:"server"`
 	Witness string `json:"witness"`
 	// Refused says that the connection was refused, which proves that no process
@@ -38,9 +38,9 @@
 	Refused bool `json:"refused,omitempty"`
 }
 
-// ServerUnwatched reports that this VM no longer probes a backend server. Its own
+// ServerProbingStopped reports that this VM no longer probes a backend server. Its own
 // earlier observations become stale and no longer count.
-type ServerUnwatched struct {
+type ServerProbingStopped struct {
 	Server string `json:"server"`
 }
 
@@ -51,8 +51,8 @@
 	Opinion fleet.Opinion `json:"opinion"`
 }
 
-// WitnessGone reports that a VM has left the membership. Its opinions are dropped.
-type WitnessGone struct {
+// WitnessRemoved reports that a VM has left the membership. Its opinions are dropped.
+type WitnessRemoved struct {
 	Witness string `json:"witness"`
 }
 
@@ -64,7 +64,7 @@
 // PlatformListed is the part of the platform's VM list that concerns backend
 // servers. It may be outdated.
 type PlatformListed struct {
-	Servers []fleet.Listed `json:"servers"`
+	Servers []fleet.PlatformEntry `json:"servers"`
 }
 
 // FleetTick advances the time of the fleet's health evaluation, about once a second.
@@ -84,9 +84,9 @@
 	Restart fleet.Restart `json:"restart"`
 }
 
-// SpreadOpinion asks the VM to gossip its opinion on a backend server's health to
+// PublishOpinion asks the VM to gossip its opinion on a backend server's health to
 // the other VMs.
-type SpreadOpinion struct {
+type PublishOpinion struct {
 	Opinion fleet.Opinion `json:"opinion"`
 }
 
@@ -97,24 +97,24 @@
 }
 
 var (
-	_ = registerEvents(ServerObserved{}, ServerSilent{}, ServerUnwatched{}, ServerOpinion{}, WitnessGone{}, VMsCounted{}, PlatformListed{}, FleetTick{})
-	_ = registerActions(ServerChanged{}, ServerRestarted{}, SpreadOpinion{}, ProbeServer{})
+	_ = registerEvents(ServerObserved{}, ServerProbeFailed{}, ServerProbingStopped{}, ServerOpinion{}, WitnessRemoved{}, VMsCounted{}, PlatformListed{}, FleetTick{})
+	_ = registerActions(ServerChanged{}, ServerRestarted{}, PublishOpinion{}, ProbeServer{})
 )
 
 // EventName implements Event.
 func (ServerObserved) EventName() string { return "server_observed" }
 
 // EventName implements Event.
-func (ServerSilent) EventName() string { return "server_silent" }
+func (ServerProbeFailed) EventName() string { return "server_silent" }
 
 // EventName implements Event.
-func (ServerUnwatched) EventName() string { return "server_unwatched" }
+func (ServerProbingStopped) EventName() string { return "server_unwatched" }
 
 // EventName implements Event.
 func (ServerOpinion) EventName() string { return "server_opinion" }
 
 // EventName implements Event.
-func (WitnessGone) EventName() string { return "witness_gone" }
+func (WitnessRemoved) EventName() string { return "witness_gone" }
 
 // EventName implements Event.
 func (VMsCounted) EventName() string { return "vms_counted" }
@@ -132,7 +132,7 @@
 func (ServerRestarted) ActionName() string { return "server_restarted" }
 
 // ActionName implements Action.
-func (SpreadOpinion) ActionName() string { return "spread_opinion" }
+func (PublishOpinion) ActionName() string { return "spread_opinion" }
 
 // ActionName implements Action.
 func (ProbeServer) ActionName() string { return "probe_server" }
--- a/internal/core/messages_moves.go
+++ b/internal/core/messages_moves.go
@@ -12,9 +12,9 @@
 	Server string `json:"server"`
 }
 
-// AttemptFlowing reports the first token of an attempt other than the request's
+// AttemptStreaming reports the first token of an attempt other than the request's
 // first, that is, of a resumed stream or a retry.
-type AttemptFlowing struct {
+type AttemptStreaming struct {
 	Request request.ID `json:"request"`
 	Attempt int        `json:"attempt"`
 }
@@ -45,12 +45,12 @@
 }
 
 var (
-	_ = registerEvents(AttemptFlowing{})
+	_ = registerEvents(AttemptStreaming{})
 	_ = registerActions(Move{}, ServerLeaving{})
 )
 
 // EventName implements Event.
-func (AttemptFlowing) EventName() string { return "attempt_flowing" }
+func (AttemptStreaming) EventName() string { return "attempt_flowing" }
 
 // ActionName implements Action.
 func (Move) ActionName() string { return "move" }
--- a/internal/core/messages_poison.go
+++ b/internal/core/messages_poison.go
@@ -2,10 +2,10 @@
 
 import "oleandershunt.example/oleandershunt/internal/core/request"
 
-// SpreadSuspicion asks the VM to publish to the other VMs at once that the
+// PublishSuspicion asks the VM to publish to the other VMs at once that the
 // connection to a server was lost while a request with the body ran on it. It is
 // sent before it is known whether the server crashed.
-type SpreadSuspicion struct {
+type PublishSuspicion struct {
 	Finding PoisonFinding `json:"finding"`
 }
 
@@ -18,7 +18,7 @@
 
 // SuspicionConfirmed reports the end of the exchange asked for by
 // ConfirmSuspicion. The findings of other VMs were delivered before it as
-// PoisonLearned events.
+// PoisonFindingReceived events.
 type SuspicionConfirmed struct {
 	Request request.ID `json:"request"`
 	// Missing are the VMs that may be alive but did not answer in time.
@@ -29,12 +29,12 @@
 func (SuspicionConfirmed) EventName() string { return "suspicion_confirmed" }
 
 // ActionName implements Action.
-func (SpreadSuspicion) ActionName() string { return "spread_suspicion" }
+func (PublishSuspicion) ActionName() string { return "spread_suspicion" }
 
 // ActionName implements Action.
 func (ConfirmSuspicion) ActionName() string { return "confirm_suspicion" }
 
 var (
 	_ = registerEvents(SuspicionConfirmed{})
-	_ = registerActions(SpreadSuspicion{}, ConfirmSuspicion{})
+	_ = registerActions(PublishSuspicion{}, ConfirmSuspicion{})
 )
--- a/internal/core/messages_requests.go
+++ b/internal/core/messages_requests.go
@@ -19,9 +19,9 @@
 	PerSecond float64 `json:"perSecond"`
 }
 
-// AccountUsage reports the usage on other VMs of the accounts that have a rate
+// RemoteAccountUsage reports the usage on other VMs of the accounts that have a rate
 // limit, so that the limit holds approximately over all VMs.
-type AccountUsage struct {
+type RemoteAccountUsage struct {
 	// LiveVMs is the number of VMs that serve callers, including this one.
 	LiveVMs int `json:"liveVMs"`
 	// Elsewhere has the sum of the other VMs' rates by account. A missing account
@@ -29,9 +29,9 @@
 	Elsewhere []AccountRate `json:"elsewhere,omitempty"`
 }
 
-// AccountUsageHere asks the VM to report the rates of the rate-limited accounts on
+// LocalAccountUsage asks the VM to report the rates of the rate-limited accounts on
 // this VM to the other VMs.
-type AccountUsageHere struct {
+type LocalAccountUsage struct {
 	Accounts []AccountRate `json:"accounts"`
 }
 
@@ -55,13 +55,13 @@
 	Age Time `json:"age,omitempty"`
 }
 
-// PoisonVerdict asks the VM to publish a finding to the other VMs.
-type PoisonVerdict struct {
+// PublishPoisonFinding asks the VM to publish a finding to the other VMs.
+type PublishPoisonFinding struct {
 	Finding PoisonFinding `json:"finding"`
 }
 
-// PoisonLearned reports another VM's finding.
-type PoisonLearned struct {
+// PoisonFindingReceived reports another VM's finding.
+type PoisonFindingReceived struct {
 	Finding PoisonFinding `json:"finding"`
 }
 
@@ -112,24 +112,24 @@
 func (Tick) EventName() string { return "tick" }
 
 // EventName implements Event.
-func (AccountUsage) EventName() string { return "account_usage" }
+func (RemoteAccountUsage) EventName() string { return "account_usage" }
 
 // EventName implements Event.
-func (PoisonLearned) EventName() string { return "poison_learned" }
+func (PoisonFindingReceived) EventName() string { return "poison_learned" }
 
 // ActionName implements Action.
 func (WakeAt) ActionName() string { return "wake_at" }
 
 // ActionName implements Action.
-func (AccountUsageHere) ActionName() string { return "account_usage_here" }
+func (LocalAccountUsage) ActionName() string { return "account_usage_here" }
 
 // ActionName implements Action.
-func (PoisonVerdict) ActionName() string { return "poison_verdict" }
+func (PublishPoisonFinding) ActionName() string { return "poison_verdict" }
 
 // ActionName implements Action.
 func (Note) ActionName() string { return "note" }
 
 var (
-	_ = registerEvents(Tick{}, AccountUsage{}, PoisonLearned{})
-	_ = registerActions(WakeAt{}, AccountUsageHere{}, PoisonVerdict{}, Note{})
+	_ = registerEvents(Tick{}, RemoteAccountUsage{}, PoisonFindingReceived{})
+	_ = registerActions(WakeAt{}, LocalAccountUsage{}, PublishPoisonFinding{}, Note{})
 )
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -94,7 +94,7 @@
 		}
 	case ServerObserved:
 		m.deadlineReported(e)
-	case AttemptFlowing:
+	case AttemptStreaming:
 		m.attemptResumed(now, e)
 	}
 }
@@ -115,7 +115,7 @@
 // attemptResumed updates the estimated resume time. A longer time is adopted at
 // once and a shorter one gradually, since a move that ends too late gets the
 // stream cut off.
-func (m *Machine) attemptResumed(now Time, e AttemptFlowing) {
+func (m *Machine) attemptResumed(now Time, e AttemptStreaming) {
 	r, ok := m.requests[e.Request]
 	if !ok || r.Attempt != e.Attempt || r.State != request.Dispatched {
 		return
--- a/internal/core/place/blocker.go
+++ b/internal/core/place/blocker.go
@@ -28,7 +28,7 @@
 func (p *Planner) blockedBy(now time.Duration, s *server) blocker {
 	desired := p.desired(s)
 	switch {
-	case desired.Model == "" || s.report != nil && satisfied(s.report.Held, desired) && !s.report.Loading:
+	case desired.Model == "" || s.report != nil && satisfied(s.report.Current, desired) && !s.report.Loading:
 		return blockerSatisfied
 	case !s.available:
 		return blockerUnavailable
@@ -59,12 +59,12 @@
 
 // drainBlocker returns the reason against taking the server out of service for a
 // change of its weights or role.
-func (p *Planner) drainBlocker(s *server, desired Holding) blocker {
-	load := !s.directReport.Held.sameWeights(desired)
+func (p *Planner) drainBlocker(s *server, desired Placement) blocker {
+	load := !s.directReport.Current.sameWeights(desired)
 	switch {
 	case load && p.activeLoads() >= p.options.MaxLoads:
 		return blockerLoadLimit
-	case (load || s.directReport.Held.Role != desired.Role) && !p.canDrain(s):
+	case (load || s.directReport.Current.Role != desired.Role) && !p.canDrain(s):
 		return blockerLastCopy
 	default:
 		return blockerNone
@@ -81,7 +81,7 @@
 	if s.config.ChecksFencing {
 		return p.lease.since
 	}
-	return p.lease.since + p.options.LongestOrder
+	return p.lease.since + p.options.OrderTimeout
 }
 
 // activeLoads counts the servers that are loading, whichever VM sent the order.
@@ -103,7 +103,7 @@
 }
 
 // satisfied reports whether the current placement includes all that is desired.
-func satisfied(current, desired Holding) bool {
+func satisfied(current, desired Placement) bool {
 	if !current.sameWeights(desired) || desired.Role != "" && current.Role != "" && current.Role != desired.Role {
 		return false
 	}
@@ -118,20 +118,20 @@
 // nextOrder returns the next step from the current to the desired placement: one
 // order at a time, the weights first.
 func (p *Planner) nextOrder(s *server) Order {
-	current, desired := s.directReport.Held, p.desired(s)
+	current, desired := s.directReport.Current, p.desired(s)
 	next := Order{Server: s.config.Name}
 	switch {
 	case !current.sameWeights(desired):
 		next.Kind = OrderLoad
-		next.Holding = Holding{Model: desired.Model, Version: desired.Version, Layers: desired.Layers}
+		next.Placement = Placement{Model: desired.Model, Version: desired.Version, Layers: desired.Layers}
 	case desired.Role != "" && current.Role != desired.Role:
 		next.Kind = OrderRole
-		next.Holding = Holding{Role: desired.Role}
+		next.Placement = Placement{Role: desired.Role}
 	default:
 		next.Kind = OrderAdapter
 		for _, adapter := range desired.Adapters {
 			if !slices.Contains(current.Adapters, adapter) {
-				next.Holding = Holding{Adapters: []string{adapter}}
+				next.Placement = Placement{Adapters: []string{adapter}}
 				break
 			}
 		}
--- a/internal/core/place/coverage.go
+++ b/internal/core/place/coverage.go
@@ -15,11 +15,11 @@
 }
 
 // servingPlacements lists the placements of all serving servers except one.
-func (p *Planner) servingPlacements(except *server) []Holding {
-	var placements []Holding
+func (p *Planner) servingPlacements(except *server) []Placement {
+	var placements []Placement
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
 		if s := p.servers[name]; s != except && s.serving() {
-			placements = append(placements, s.report.Held)
+			placements = append(placements, s.report.Current)
 		}
 	}
 	return placements
@@ -29,11 +29,11 @@
 // that have been read since this VM acquired the role. A previous holder's order
 // may have taken any other server out of service, which its stale report does
 // not show yet.
-func (p *Planner) confirmedPlacements(except *server) []Holding {
-	var placements []Holding
+func (p *Planner) confirmedPlacements(except *server) []Placement {
+	var placements []Placement
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
 		if s := p.servers[name]; s != except && s.serving() && p.confirmed(s) {
-			placements = append(placements, s.report.Held)
+			placements = append(placements, s.report.Current)
 		}
 	}
 	return placements
@@ -42,12 +42,12 @@
 // possiblePlacements lists the placements of the servers, except one, that may
 // be serving. It includes those that are loading, since the order may have been
 // lost and the load may have finished.
-func (p *Planner) possiblePlacements(except *server) []Holding {
-	var placements []Holding
+func (p *Planner) possiblePlacements(except *server) []Placement {
+	var placements []Placement
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
 		s := p.servers[name]
 		if s != except && s.available && !s.config.Leaving && s.report != nil {
-			placements = append(placements, s.report.Held)
+			placements = append(placements, s.report.Current)
 		}
 	}
 	return placements
@@ -62,9 +62,9 @@
 
 // covers reports whether every layer in the range has a copy among the
 // placements.
-func covers(placements []Holding, model, version string, layers api.Layers) bool {
+func covers(placements []Placement, model, version string, layers api.Layers) bool {
 	for layer := layers.From; layer < layers.To; layer++ {
-		if !slices.ContainsFunc(placements, func(p Holding) bool { return p.hasLayer(model, version, layer) }) {
+		if !slices.ContainsFunc(placements, func(p Placement) bool { return p.hasLayer(model, version, layer) }) {
 			return false
 		}
 	}
@@ -80,7 +80,7 @@
 	if s.report == nil {
 		return false
 	}
-	current := s.report.Held
+	current := s.report.Current
 	model, known := p.models[current.Model]
 	if !known || current.Layers.Len() <= 0 {
 		return true
@@ -99,7 +99,7 @@
 // obsolete reports whether the server's layers are of no use: they belong to an
 // old version that has lost a layer elsewhere, so that only the configured
 // version can become complete again.
-func (p *Planner) obsolete(current Holding, model Model, all []Holding) bool {
+func (p *Planner) obsolete(current Placement, model Model, all []Placement) bool {
 	whole := api.Layers{From: 0, To: model.Layers}
 	return current.Version != model.Version && p.desiredCoversModel(current.Model, whole) &&
 		!covers(all, current.Model, current.Version, whole)
@@ -108,10 +108,10 @@
 // desiredCoversModel reports whether the placements configured in this data
 // centre cover the whole model.
 func (p *Planner) desiredCoversModel(model string, whole api.Layers) bool {
-	var desired []Holding
+	var desired []Placement
 	for _, s := range p.servers {
-		if s.config.Want.Model == model {
-			desired = append(desired, Holding{Model: model, Layers: s.config.Want.Layers})
+		if s.config.Desired.Model == model {
+			desired = append(desired, Placement{Model: model, Layers: s.config.Desired.Layers})
 		}
 	}
 	return covers(desired, model, "", whole)
@@ -139,7 +139,7 @@
 // needsSubstitute reports whether a server's placement must be assigned to
 // another server.
 func (p *Planner) needsSubstitute(now time.Duration, s *server) bool {
-	if s.config.Want.Model == "" {
+	if s.config.Desired.Model == "" {
 		return false
 	}
 	return s.config.Leaving || !s.available && now >= s.availabilityChangedAt+p.options.LossGrace
@@ -149,14 +149,14 @@
 // enough that its substitute may return. The substitute returns only if it can
 // be drained then.
 func (p *Planner) recovered(now time.Duration, s *server) bool {
-	return s.serving() && satisfied(s.report.Held, s.config.Want) && now >= s.availabilityChangedAt+p.options.ReturnDelay
+	return s.serving() && satisfied(s.report.Current, s.config.Desired) && now >= s.availabilityChangedAt+p.options.ReturnDelay
 }
 
 // covered reports whether the lost server's layers have other serving copies of
 // the configured version, or are about to have them. A planned version change
 // thus does not look like a loss.
 func (p *Planner) covered(lost *server) bool {
-	desired := lost.config.Want
+	desired := lost.config.Desired
 	placements := p.servingPlacements(lost)
 	if covers(placements, desired.Model, desired.Version, desired.Layers) {
 		return true
@@ -180,7 +180,7 @@
 	var candidates []*server
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
 		s := p.servers[name]
-		largeEnough := s.config.Want.Layers.Len() >= lost.config.Want.Layers.Len()
+		largeEnough := s.config.Desired.Layers.Len() >= lost.config.Desired.Layers.Len()
 		if s != lost && largeEnough && !assigned[name] && s.serving() && p.canDrain(s) {
 			candidates = append(candidates, s)
 		}
@@ -188,7 +188,7 @@
 	if len(candidates) == 0 {
 		return "", false
 	}
-	desired := lost.config.Want
+	desired := lost.config.Desired
 	first := slices.MinFunc(candidates, func(a, b *server) int {
 		return cmp.Compare(p.expectedLoadTime(a, desired), p.expectedLoadTime(b, desired))
 	})
--- a/internal/core/place/inflight.go
+++ b/internal/core/place/inflight.go
@@ -15,24 +15,24 @@
 	incarnation uint64
 }
 
-// Answered handles the result of sending an order.
-func (p *Planner) Answered(now time.Duration, id string, result Result) {
+// HandleResult handles the result of sending an order.
+func (p *Planner) HandleResult(now time.Duration, id string, result Result) {
 	s := p.serverOfOrder(id)
 	if s == nil {
 		return
 	}
 	s.inFlight.answeredAt = now
 	switch result {
-	case Taken:
+	case Accepted:
 		s.inFlight.state = Loading
 	case Unknown:
 		s.inFlight.state = Unacknowledged
 	case Refused:
 		p.orderFailed(now, s)
-	case Stale:
+	case StaleFence:
 		// A later lease holder has sent an order. Sending more would undo its
 		// work.
-		p.Lose()
+		p.ClearLease()
 	case NotSent:
 		s.inFlight = nil
 	}
@@ -78,7 +78,7 @@
 	switch {
 	case s.directReport.Loading:
 		f.state = Loading
-	case applied(s.directReport.Held, f.order):
+	case applied(s.directReport.Current, f.order):
 		p.learnLayerTime(now, s)
 		s.inFlight, s.failures = nil, 0
 	case f.state == Loading:
@@ -86,14 +86,14 @@
 	}
 }
 
-func applied(current Holding, order Order) bool {
+func applied(current Placement, order Order) bool {
 	switch order.Kind {
 	case OrderLoad:
-		return current.sameWeights(order.Holding)
+		return current.sameWeights(order.Placement)
 	case OrderRole:
-		return current.Role == order.Holding.Role
+		return current.Role == order.Placement.Role
 	default:
-		return satisfied(Holding{Adapters: current.Adapters}, Holding{Adapters: order.Holding.Adapters})
+		return satisfied(Placement{Adapters: current.Adapters}, Placement{Adapters: order.Placement.Adapters})
 	}
 }
 
@@ -108,7 +108,7 @@
 	case noEffect && (f.order.Kind == OrderAdapter || p.canDrain(s)):
 		f.state = Ordered
 		d.Orders = append(d.Orders, f.order)
-	case noEffect && now >= f.answeredAt+p.options.LongestOrder:
+	case noEffect && now >= f.answeredAt+p.options.OrderTimeout:
 		// The server has the last copy by now, and the order can no longer arrive.
 		s.inFlight, s.directReport = nil, nil
 	default:
@@ -134,14 +134,14 @@
 }
 
 // expectedLoadTime estimates how long the server needs to reach a placement.
-func (p *Planner) expectedLoadTime(s *server, desired Holding) time.Duration {
+func (p *Planner) expectedLoadTime(s *server, desired Placement) time.Duration {
 	layerTime, ok := p.layerTimes[s.config.Accelerator]
 	if !ok {
 		layerTime = p.options.InitialLayerTime
 	}
 	layers := desired.Layers.Len()
 	if s.report != nil {
-		layers = s.report.Held.missingLayers(desired)
+		layers = s.report.Current.missingLayers(desired)
 	}
 	return layerTime * time.Duration(layers)
 }
--- a/internal/core/place/place_test.go
+++ b/internal/core/place/place_test.go
@@ -14,7 +14,7 @@
 // one of the second half.
 func newThreeServerSimulation() *simulation {
 	sim := newSimulation(scorerModels("v1"), engineConfig(1, 0, 12), engineConfig(2, 0, 12), engineConfig(3, 12, 24))
-	sim.planner.Hold(1, 0, time.Hour)
+	sim.planner.SetLease(1, 0, time.Hour)
 	return sim
 }
 
@@ -36,7 +36,7 @@
 	sim.steps(4)
 	g.Expect(sim.orders).To(HaveLen(1))
 	g.Expect(sim.orders[0].Server).To(Equal("bornova-1"))
-	g.Expect(sim.orders[0].Holding.Layers).To(Equal(api.Layers{From: 12, To: 24}))
+	g.Expect(sim.orders[0].Placement.Layers).To(Equal(api.Layers{From: 12, To: 24}))
 	g.Expect(sim.status.Uncovered).To(ConsistOf(Gap{
 		Model: "scorer", Version: "v1", Layers: api.Layers{From: 12, To: 24}, Substitute: "bornova-1",
 	}))
@@ -63,22 +63,22 @@
 	ignoring.ChecksFencing = false
 	sim := newSimulation(scorerModels("v1"), ignoring, engineConfig(2, 0, 12), engineConfig(3, 0, 24), engineConfig(4, 0, 24))
 	for _, name := range []string{"bornova-1", "bornova-2"} {
-		sim.engines[name].current = Holding{Model: "scorer", Version: "v0", Layers: api.Layers{From: 0, To: 12}}
+		sim.engines[name].current = Placement{Model: "scorer", Version: "v0", Layers: api.Layers{From: 0, To: 12}}
 	}
 	sim.steps(2)
-	sim.planner.Hold(7, sim.now, time.Hour)
+	sim.planner.SetLease(7, sim.now, time.Hour)
 	leaseStart := sim.now
 	sim.step()
 	g.Expect(sim.orders).To(HaveLen(1), "the server that checks fencing numbers gets its order at once")
 	g.Expect(sim.orders[0].Server).To(Equal("bornova-2"))
 
-	late := Order{ID: "late", Server: "bornova-1", Fence: 6, Kind: OrderLoad, Holding: Holding{Model: "scorer", Version: "v1", Layers: api.Layers{From: 12, To: 24}}}
+	late := Order{ID: "late", Server: "bornova-1", Fence: 6, Kind: OrderLoad, Placement: Placement{Model: "scorer", Version: "v1", Layers: api.Layers{From: 12, To: 24}}}
 	sim.steps(2)
-	g.Expect(sim.apply(late)).To(Equal(Taken), "the server ignores the outdated fencing number")
+	g.Expect(sim.apply(late)).To(Equal(Accepted), "the server ignores the outdated fencing number")
 	for range 60 {
 		sim.step()
 		for _, order := range sim.orders {
-			g.Expect(order.Server != "bornova-1" || sim.now > leaseStart+sim.planner.options.LongestOrder).To(BeTrue())
+			g.Expect(order.Server != "bornova-1" || sim.now > leaseStart+sim.planner.options.OrderTimeout).To(BeTrue())
 		}
 	}
 	g.Expect(sim.engines["bornova-1"].current.Layers).To(Equal(api.Layers{From: 0, To: 12}))
@@ -118,8 +118,8 @@
 func TestNoOrdersWithoutLease(t *testing.T) {
 	g := NewWithT(t)
 	sim := newThreeServerSimulation()
-	sim.planner.Lose()
-	sim.planner.Hold(2, 0, 2*time.Second)
+	sim.planner.ClearLease()
+	sim.planner.SetLease(2, 0, 2*time.Second)
 	sim.steps(5)
 	sim.engines["bornova-1"].current.Version = "v0"
 	sim.steps(5)
@@ -127,7 +127,7 @@
 	g.Expect(sim.status.Changes[0].Reason).To(Equal(string(blockerNoRole)))
 
 	sim.engines["bornova-1"].fence = 9
-	sim.planner.Hold(3, sim.now, time.Hour)
+	sim.planner.SetLease(3, sim.now, time.Hour)
 	sim.steps(5)
 	g.Expect(sim.orders).To(HaveLen(1), "the refusal of its outdated fencing number ends the lease")
 	g.Expect(sim.status.Holder).To(BeFalse())
@@ -137,12 +137,12 @@
 // when many servers need a load at the same time.
 func TestConcurrentLoadsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	var configs []Record
+	var configs []ServerConfig
 	for i := range 8 {
 		configs = append(configs, engineConfig(i+1, 0, 24))
 	}
 	sim := newSimulation(scorerModels("v1"), configs...)
-	sim.planner.Hold(1, 0, time.Hour)
+	sim.planner.SetLease(1, 0, time.Hour)
 	for _, name := range sim.names()[:6] {
 		sim.engines[name].current.Version = "v0"
 	}
@@ -168,7 +168,7 @@
 func TestVersionChangeKeepsOneCompleteVersion(t *testing.T) {
 	g := NewWithT(t)
 	sim := newSimulation(scorerModels("v1"), engineConfig(1, 0, 12), engineConfig(2, 0, 12), engineConfig(3, 12, 24), engineConfig(4, 12, 24))
-	sim.planner.Hold(1, 0, time.Hour)
+	sim.planner.SetLease(1, 0, time.Hour)
 	sim.steps(2)
 	sim.changeVersion("v2")
 	for range 80 {
@@ -180,7 +180,7 @@
 	}
 
 	single := newSimulation(scorerModels("v1"), engineConfig(1, 0, 12), engineConfig(2, 12, 24))
-	single.planner.Hold(1, 0, time.Hour)
+	single.planner.SetLease(1, 0, time.Hour)
 	single.steps(2)
 	single.changeVersion("v2")
 	single.steps(30)
@@ -191,7 +191,7 @@
 func (sim *simulation) changeVersion(version string) {
 	sim.models = scorerModels(version)
 	for _, e := range sim.engines {
-		e.config.Want.Version = version
+		e.config.Desired.Version = version
 	}
 	sim.configure()
 }
@@ -202,8 +202,8 @@
 	g := NewWithT(t)
 	sim := newThreeServerSimulation()
 	for _, name := range []string{"bornova-1", "bornova-3"} {
-		sim.engines[name].config.Want.Adapters = []string{"kademe", "panel"}
-		sim.engines[name].config.Want.Role = "decode"
+		sim.engines[name].config.Desired.Adapters = []string{"kademe", "panel"}
+		sim.engines[name].config.Desired.Role = "decode"
 		sim.engines[name].current.Role = "both"
 	}
 	sim.configure()
@@ -251,13 +251,13 @@
 	if e.overlappingOrders > 0 {
 		r.Fatalf("%s got an order while it was executing one", name)
 	}
-	if !e.current.sameWeights(e.config.Want) && !sim.statusExplains(name) {
-		r.Fatalf("%s has %v instead of %v, and the status does not say why: %+v", name, e.current, e.config.Want, sim.status)
+	if !e.current.sameWeights(e.config.Desired) && !sim.statusExplains(name) {
+		r.Fatalf("%s has %v instead of %v, and the status does not say why: %+v", name, e.current, e.config.Desired, sim.status)
 	}
 }
 
 func drawSimulation(r *rapid.T) *simulation {
-	var configs []Record
+	var configs []ServerConfig
 	for i := range rapid.IntRange(2, 7).Draw(r, "servers") {
 		shape := rapid.SampledFrom([][2]int{{0, 12}, {12, 24}, {12, 18}, {18, 24}, {0, 24}}).Draw(r, "layers")
 		config := engineConfig(i+1, shape[0], shape[1])
@@ -266,7 +266,7 @@
 	}
 	sim := newSimulation(scorerModels("v1"), configs...)
 	sim.loadTime = time.Duration(rapid.IntRange(1, 20).Draw(r, "load")) * time.Second
-	sim.planner.Hold(1, 0, time.Hour)
+	sim.planner.SetLease(1, 0, time.Hour)
 	return sim
 }
 
@@ -283,7 +283,7 @@
 	case 3:
 		sim.changeVersion(rapid.SampledFrom([]string{"v1", "v2"}).Draw(r, "version"))
 	case 4:
-		sim.planner.Hold(sim.planner.lastFence()+1, sim.now, time.Hour)
+		sim.planner.SetLease(sim.planner.lastFence()+1, sim.now, time.Hour)
 	}
 }
 
--- a/internal/core/place/planner.go
+++ b/internal/core/place/planner.go
@@ -34,7 +34,7 @@
 
 // server is the known state of one server.
 type server struct {
-	config    Record
+	config    ServerConfig
 	available bool
 	// availabilityChangedAt is when available last changed.
 	availabilityChangedAt time.Duration
@@ -62,7 +62,7 @@
 
 // Configure sets the configuration in force: the models, and the model engines
 // of the data centre.
-func (p *Planner) Configure(now time.Duration, models map[string]Model, configs []Record) {
+func (p *Planner) Configure(now time.Duration, models map[string]Model, configs []ServerConfig) {
 	p.models = models
 	known := make(map[string]bool, len(configs))
 	for _, config := range configs {
@@ -78,16 +78,16 @@
 	maps.DeleteFunc(p.substitutes, func(lost, substitute string) bool { return !known[lost] || !known[substitute] })
 }
 
-// SetUp sets whether a server is available.
-func (p *Planner) SetUp(now time.Duration, name string, up bool) {
+// SetAvailable sets whether a server is available.
+func (p *Planner) SetAvailable(now time.Duration, name string, up bool) {
 	if s, ok := p.servers[name]; ok && s.available != up {
 		s.available, s.availabilityChangedAt = up, now
 	}
 }
 
-// Restarted discards what is known of a server's previous process, so that the
+// HandleRestart discards what is known of a server's previous process, so that the
 // new one is read.
-func (p *Planner) Restarted(name string) {
+func (p *Planner) HandleRestart(name string) {
 	if s, ok := p.servers[name]; ok {
 		s.report, s.directReport, s.inFlight = nil, nil, nil
 	}
@@ -107,7 +107,7 @@
 		// A report that was not read directly has no adapters, role or loading
 		// state.
 		report.Loading = s.report.Loading
-		report.Held.Adapters, report.Held.Role = s.report.Held.Adapters, s.report.Held.Role
+		report.Current.Adapters, report.Current.Role = s.report.Current.Adapters, s.report.Current.Role
 	}
 	s.report = &report
 	if report.Direct {
@@ -115,9 +115,9 @@
 	}
 }
 
-// Hold records that this VM holds the placement role with a fencing number, from
+// SetLease records that this VM holds the placement role with a fencing number, from
 // since until a time on its own clock.
-func (p *Planner) Hold(fence uint64, since, until time.Duration) {
+func (p *Planner) SetLease(fence uint64, since, until time.Duration) {
 	if p.lease != nil && p.lease.fence == fence {
 		p.lease.until = max(p.lease.until, until)
 		return
@@ -129,8 +129,8 @@
 	p.lease = &roleLease{fence: fence, since: since, until: until}
 }
 
-// Lose records that this VM no longer holds the role.
-func (p *Planner) Lose() {
+// ClearLease records that this VM no longer holds the role.
+func (p *Planner) ClearLease() {
 	p.lease = nil
 	p.clearInFlight()
 }
@@ -181,7 +181,7 @@
 		next.Fence = p.lease.fence
 		s.inFlight = &inFlightOrder{order: next, state: Ordered, sentAt: now, incarnation: s.directReport.Incarnation}
 		if next.Kind == OrderLoad {
-			s.inFlight.layers = s.directReport.Held.missingLayers(next.Holding)
+			s.inFlight.layers = s.directReport.Current.missingLayers(next.Placement)
 		}
 		d.Orders = append(d.Orders, next)
 	}
@@ -220,11 +220,11 @@
 
 // desired is the placement that a server should have now: its configured one, or
 // that of the lost server that it replaces.
-func (p *Planner) desired(s *server) Holding {
+func (p *Planner) desired(s *server) Placement {
 	if lost := p.lostServerOf(s); lost != "" {
-		desired := p.servers[lost].config.Want
-		desired.Role = s.config.Want.Role
+		desired := p.servers[lost].config.Desired
+		desired.Role = s.config.Desired.Role
 		return desired
 	}
-	return s.config.Want
+	return s.config.Desired
 }
--- a/internal/core/place/simulation_test.go
+++ b/internal/core/place/simulation_test.go
@@ -11,13 +11,13 @@
 
 // fakeEngine is a model engine that executes orders.
 type fakeEngine struct {
-	config            Record
-	current           Holding
+	config            ServerConfig
+	current           Placement
 	up                bool
 	incarnation       uint64
 	fence             uint64
 	accepted          map[string]bool
-	loadTarget        *Holding
+	loadTarget        *Placement
 	loadEndsAt        time.Duration
 	overlappingOrders int
 }
@@ -40,7 +40,7 @@
 	status      Status
 }
 
-func newSimulation(models map[string]Model, configs ...Record) *simulation {
+func newSimulation(models map[string]Model, configs ...ServerConfig) *simulation {
 	sim := &simulation{
 		planner:  New(DefaultOptions("bornova")),
 		engines:  make(map[string]*fakeEngine),
@@ -48,7 +48,7 @@
 		loadTime: 10 * time.Second,
 	}
 	for _, config := range configs {
-		sim.engines[config.Name] = &fakeEngine{config: config, current: config.Want, up: true, incarnation: 1, accepted: map[string]bool{}}
+		sim.engines[config.Name] = &fakeEngine{config: config, current: config.Desired, up: true, incarnation: 1, accepted: map[string]bool{}}
 	}
 	sim.configure()
 	return sim
@@ -57,7 +57,7 @@
 func (sim *simulation) names() []string { return slices.Sorted(maps.Keys(sim.engines)) }
 
 func (sim *simulation) configure() {
-	var configs []Record
+	var configs []ServerConfig
 	for _, name := range sim.names() {
 		configs = append(configs, sim.engines[name].config)
 	}
@@ -73,9 +73,9 @@
 			e.current.Model, e.current.Version, e.current.Layers = e.loadTarget.Model, e.loadTarget.Version, e.loadTarget.Layers
 			e.loadTarget = nil
 		}
-		sim.planner.SetUp(sim.now, name, e.up)
+		sim.planner.SetAvailable(sim.now, name, e.up)
 		if e.up {
-			sim.planner.Observe(Report{Server: name, Incarnation: e.incarnation, Held: e.current, At: sim.now})
+			sim.planner.Observe(Report{Server: name, Incarnation: e.incarnation, Current: e.current, At: sim.now})
 		}
 	}
 	sim.plan()
@@ -107,7 +107,7 @@
 	e := sim.engines[name]
 	if e.up {
 		sim.planner.Observe(Report{
-			Server: name, Incarnation: e.incarnation, Held: e.current,
+			Server: name, Incarnation: e.incarnation, Current: e.current,
 			Loading: e.loadTarget != nil, Direct: true, At: sim.now,
 		})
 	}
@@ -129,7 +129,7 @@
 	if !answered {
 		result = Unknown
 	}
-	sim.planner.Answered(sim.now, order.ID, result)
+	sim.planner.HandleResult(sim.now, order.ID, result)
 }
 
 // apply executes an order as an engine does.
@@ -139,9 +139,9 @@
 	case !e.up:
 		return Unknown
 	case e.accepted[order.ID]:
-		return Taken
+		return Accepted
 	case order.Fence < e.fence && e.config.ChecksFencing:
-		return Stale
+		return StaleFence
 	case e.loadTarget != nil:
 		e.overlappingOrders++
 		return Refused
@@ -150,13 +150,13 @@
 	e.fence = max(e.fence, order.Fence)
 	switch order.Kind {
 	case OrderLoad:
-		e.loadTarget, e.loadEndsAt = &order.Holding, sim.now+sim.loadTime
+		e.loadTarget, e.loadEndsAt = &order.Placement, sim.now+sim.loadTime
 	case OrderRole:
-		e.current.Role = order.Holding.Role
+		e.current.Role = order.Placement.Role
 	case OrderAdapter:
-		e.current.Adapters = append(slices.Clone(e.current.Adapters), order.Holding.Adapters...)
+		e.current.Adapters = append(slices.Clone(e.current.Adapters), order.Placement.Adapters...)
 	}
-	return Taken
+	return Accepted
 }
 
 func (sim *simulation) crash(name string) {
@@ -180,7 +180,7 @@
 		versions[e.current.Version] = true
 	}
 	for version := range versions {
-		var placements []Holding
+		var placements []Placement
 		for name, e := range sim.engines {
 			if name != except && e.up && e.loadTarget == nil && !e.config.Leaving {
 				placements = append(placements, e.current)
@@ -193,12 +193,12 @@
 	return false
 }
 
-func engineConfig(i int, from, to int) Record {
-	return Record{
+func engineConfig(i int, from, to int) ServerConfig {
+	return ServerConfig{
 		Name:          fmt.Sprintf("bornova-%d", i),
 		Accelerator:   "fast",
 		ChecksFencing: true,
-		Want:          Holding{Model: "scorer", Version: "v1", Layers: api.Layers{From: from, To: to}},
+		Desired:       Placement{Model: "scorer", Version: "v1", Layers: api.Layers{From: from, To: to}},
 	}
 }
 
--- a/internal/core/place/status.go
+++ b/internal/core/place/status.go
@@ -10,7 +10,7 @@
 )
 
 // String returns a short description of a placement.
-func (h Holding) String() string {
+func (h Placement) String() string {
 	if h.Model == "" {
 		return "nothing"
 	}
@@ -59,7 +59,7 @@
 	desired := p.desired(s)
 	change := Change{Server: s.config.Name, Model: desired.Model, From: "not known", To: desired.String(), Replaces: lost, State: Pending, Reason: string(reason)}
 	if s.report != nil {
-		change.From = s.report.Held.String()
+		change.From = s.report.Current.String()
 	}
 	switch {
 	case upToDate:
@@ -89,7 +89,7 @@
 	var gaps []Gap
 	placements := p.servingPlacements(nil)
 	for _, name := range slices.Sorted(maps.Keys(p.servers)) {
-		desired := p.servers[name].config.Want
+		desired := p.servers[name].config.Desired
 		if desired.Model != model {
 			continue
 		}
@@ -109,10 +109,10 @@
 
 // uncoveredRanges lists the ranges of a placement that have no copy of any
 // version.
-func uncoveredRanges(placements []Holding, desired Holding) []api.Layers {
+func uncoveredRanges(placements []Placement, desired Placement) []api.Layers {
 	var ranges []api.Layers
 	for layer := desired.Layers.From; layer < desired.Layers.To; layer++ {
-		if slices.ContainsFunc(placements, func(p Holding) bool { return p.hasLayer(desired.Model, p.Version, layer) }) {
+		if slices.ContainsFunc(placements, func(p Placement) bool { return p.hasLayer(desired.Model, p.Version, layer) }) {
 			continue
 		}
 		if n := len(ranges); n > 0 && ranges[n-1].To == layer {
--- a/internal/core/place/types.go
+++ b/internal/core/place/types.go
@@ -11,9 +11,9 @@
 	"oleandershunt.example/oleandershunt/api"
 )
 
-// Holding is the model, layers, adapters and role that a backend server has
+// Placement is the model, layers, adapters and role that a backend server has
 // loaded, or should load.
-type Holding struct {
+type Placement struct {
 	Model    string     `json:"model,omitempty"`
 	Version  string     `json:"version,omitempty"`
 	Layers   api.Layers `json:"layers,omitzero"`
@@ -22,17 +22,17 @@
 }
 
 // sameWeights reports whether two placements need the same weights.
-func (h Holding) sameWeights(other Holding) bool {
+func (h Placement) sameWeights(other Placement) bool {
 	return h.Model == other.Model && h.Version == other.Version && h.Layers == other.Layers
 }
 
 // hasLayer reports whether the placement includes a layer of a model version.
-func (h Holding) hasLayer(model, version string, layer int) bool {
+func (h Placement) hasLayer(model, version string, layer int) bool {
 	return h.Model == model && h.Version == version && h.Layers.From <= layer && layer < h.Layers.To
 }
 
 // missingLayers counts the layers that must be loaded to get from h to desired.
-func (h Holding) missingLayers(desired Holding) int {
+func (h Placement) missingLayers(desired Placement) int {
 	if h.Model != desired.Model || h.Version != desired.Version {
 		return desired.Layers.Len()
 	}
@@ -45,8 +45,8 @@
 	Version string
 }
 
-// Record is a model engine of the data centre as defined by the configuration.
-type Record struct {
+// ServerConfig is a model engine of the data centre as defined by the configuration.
+type ServerConfig struct {
 	Name        string
 	Accelerator string
 	// ChecksFencing is true if the engine refuses orders with an outdated fencing
@@ -54,15 +54,15 @@
 	ChecksFencing bool
 	// Leaving is true if the server is draining and must get no new work.
 	Leaving bool
-	// Want is the placement that the operator has configured for the server.
-	Want Holding
+	// Desired is the placement that the operator has configured for the server.
+	Desired Placement
 }
 
 // Report is a backend server's report of its own state.
 type Report struct {
 	Server      string
 	Incarnation uint64
-	Held        Holding
+	Current     Placement
 	// Loading is true while the server executes an order.
 	Loading bool
 	// Direct is true if the VM read the report from the server in order to decide
@@ -93,8 +93,8 @@
 	Server string    `json:"server"`
 	Fence  uint64    `json:"fence"`
 	Kind   OrderKind `json:"kind"`
-	// Holding has only the fields that the kind of order changes set.
-	Holding Holding `json:"holding"`
+	// Placement has only the fields that the kind of order changes set.
+	Placement Placement `json:"holding"`
 }
 
 // Result is the outcome of sending an order.
@@ -102,12 +102,12 @@
 
 // The results of an order.
 const (
-	// Taken: the server accepted the order and is executing it.
-	Taken Result = "taken"
+	// Accepted: the server accepted the order and is executing it.
+	Accepted Result = "taken"
 	// Refused: the server rejected the order.
 	Refused Result = "refused"
-	// Stale: the server has seen the fencing number of a later lease holder.
-	Stale Result = "stale"
+	// StaleFence: the server has seen the fencing number of a later lease holder.
+	StaleFence Result = "stale"
 	// Unknown: the response was lost; the order may be in effect.
 	Unknown Result = "unknown"
 	// NotSent: the role was lost just before the order would have been sent.
@@ -121,10 +121,10 @@
 	// MaxLoads limits the concurrent loads in this data centre. It is the data
 	// centre's share of the load that the weight store can serve to the fleet.
 	MaxLoads int
-	// LongestOrder is the sender's time limit, and so the longest that an order
+	// OrderTimeout is the sender's time limit, and so the longest that an order
 	// can be in flight. After the lease changes holder, the planner waits that
 	// long before it sends an order to a server that ignores fencing numbers.
-	LongestOrder time.Duration
+	OrderTimeout time.Duration
 	// LossGrace is how long a server may be unavailable before its layers are
 	// assigned to a substitute.
 	LossGrace time.Duration
@@ -152,7 +152,7 @@
 	return Options{
 		DataCentre:       dataCentre,
 		MaxLoads:         2,
-		LongestOrder:     5 * time.Second,
+		OrderTimeout:     5 * time.Second,
 		LossGrace:        2 * time.Second,
 		ReturnDelay:      30 * time.Second,
 		MaxReportAge:     3 * time.Second,
--- a/internal/core/poison/block.go
+++ b/internal/core/poison/block.go
@@ -26,7 +26,7 @@
 
 // BlockDue returns when a pending block of the body takes effect unless another VM
 // contradicts it; false if none is pending.
-func (t *Table) VerdictDue(body Body) (time.Duration, bool) {
+func (t *Table) BlockDue(body Body) (time.Duration, bool) {
 	block, ok := t.pendingBlocks[body]
 	return block.at, ok
 }
@@ -41,7 +41,7 @@
 		remote := t.pendingBlocks[body].remote
 		delete(t.pendingBlocks, body)
 		if finding := t.find(now, body); finding != nil && !remote {
-			finding.Condemned = true
+			finding.Blocked = true
 			changed = append(changed, *finding)
 		}
 	}
@@ -57,7 +57,7 @@
 		return
 	}
 	until := learned.At + blockDelay + gossipDelay
-	if learned.Condemned || learned.Crashes < crashesToIsolate || until <= now {
+	if learned.Blocked || learned.Crashes < crashesToIsolate || until <= now {
 		delete(t.pendingBlocks, learned.Body)
 		return
 	}
--- a/internal/core/poison/crash.go
+++ b/internal/core/poison/crash.go
@@ -46,7 +46,7 @@
 // RecordLoss records a lost connection. It counts against no body until the crash of
 // the server is proven. It reports whether the loss may turn out to be a crash, in
 // which case other VMs should be informed.
-func (t *Table) Lost(now time.Duration, loss Loss) bool {
+func (t *Table) RecordLoss(now time.Duration, loss Loss) bool {
 	if loss.Body.Hash == 0 {
 		return false
 	}
@@ -92,7 +92,7 @@
 }
 
 // ConnectionRefused records that no process listens at a server any more.
-func (t *Table) Refused(now time.Duration, server string) {
+func (t *Table) ConnectionRefused(now time.Duration, server string) {
 	// The proof may arrive before the losses of the streams.
 	if c := t.openCrash(now, server); c != nil {
 		c.prove(now)
@@ -102,7 +102,7 @@
 // RecordPeerIncarnation records a server's incarnation reported by another VM. The
 // report may be outdated, so it proves nothing about an open crash. It only sets the
 // process that is expected when a crash begins.
-func (t *Table) Told(server string, incarnation uint64) {
+func (t *Table) RecordPeerIncarnation(server string, incarnation uint64) {
 	if _, ok := t.crashes[server]; !ok && incarnation != 0 {
 		t.incarnations[server] = incarnation
 	}
@@ -110,7 +110,7 @@
 
 // RecordProbedIncarnation records a server's incarnation that this VM's own probe
 // observed age ago.
-func (t *Table) Seen(now, age time.Duration, server string, incarnation uint64) {
+func (t *Table) RecordProbedIncarnation(now, age time.Duration, server string, incarnation uint64) {
 	if incarnation == 0 {
 		return
 	}
@@ -142,7 +142,7 @@
 
 // DecisionPending reports whether a loss of the body waits for proof, evaluation or
 // a pending block.
-func (t *Table) Waiting(body Body) bool {
+func (t *Table) DecisionPending(body Body) bool {
 	_, blockPending := t.pendingBlocks[body]
 	if blockPending || t.pendingCrashes[body] > 0 {
 		return true
@@ -153,7 +153,7 @@
 
 // CrashCount returns the number of crashes of servers that ran a body, including
 // unproven ones.
-func (t *Table) Crashes(now time.Duration, body Body) int {
+func (t *Table) CrashCount(now time.Duration, body Body) int {
 	if body.Hash == 0 {
 		return 0
 	}
@@ -161,7 +161,7 @@
 }
 
 // NextDue returns when Evaluate has to run next; false if nothing is pending.
-func (t *Table) Due() (time.Duration, bool) {
+func (t *Table) NextDue() (time.Duration, bool) {
 	due, pending := time.Duration(0), false
 	for _, c := range t.crashes {
 		if at := c.due(); !pending || at < due {
@@ -192,7 +192,7 @@
 
 // Evaluate decides the crashes whose collection time is over, and the pending blocks
 // that no other VM has contradicted. It returns the findings that changed.
-func (t *Table) Judge(now time.Duration) []Finding {
+func (t *Table) Evaluate(now time.Duration) []Finding {
 	t.expireRemoteLosses(now)
 	var changed []Finding
 	for _, server := range slices.Sorted(maps.Keys(t.crashes)) {
@@ -245,7 +245,7 @@
 	if finding.Crashes < crashesToIsolate {
 		return
 	}
-	if finding.Crashes < crashesToBlock && progress >= ProgressTokens {
+	if finding.Crashes < crashesToBlock && progress >= MinProgressTokens {
 		return
 	}
 	if t.explainedByOtherFinding(now, finding) {
