--- a/internal/core/poison/poison.go
+++ b/internal/core/poison/poison.go
@@ -34,7 +34,7 @@
 	// suspects. It may run on servers that run no other isolated body.
 	Isolate
 	// Blocked: it is the only body that explains the crashes. It may not run.
-	Condemned
+	Blocked
 )
 
 // Options are the settings of a Table. A zero field takes its default.
@@ -60,16 +60,16 @@
 	// MinProgressTokens is the number of tokens that a request must deliver beyond
 	// the position of its last crash for that crash to be attributed to another
 	// request.
-	ProgressTokens = 16
+	MinProgressTokens = 16
 )
 
 // Finding is the evidence against a body.
 type Finding struct {
 	Body
-	Crashes   int
-	Condemned bool
+	Crashes int
+	Blocked bool
 	// Unproven is set if the crash is not proven: only a connection was lost.
-	Suspected bool
+	Unproven bool
 	// Server is the backend server of the last crash, and Incarnation its process;
 	// 0 if unknown.
 	Server      string
@@ -132,8 +132,8 @@
 	finding := t.find(now, body)
 	crashes := t.provenCrashes(now, body) + t.remoteLossCount(body)
 	switch {
-	case finding != nil && finding.Condemned:
-		return Condemned
+	case finding != nil && finding.Blocked:
+		return Blocked
 	case crashes >= crashesToIsolate:
 		return Isolate
 	case crashes > 0:
@@ -145,9 +145,9 @@
 
 // ClearSuspicion clears a body that ran to completion. A blocked body stays blocked:
 // it can't have run on this VM since, so the run is an earlier one that ended late.
-func (t *Table) Acquit(body Body) {
+func (t *Table) ClearSuspicion(body Body) {
 	element, ok := t.bodies[body]
-	if ok && !element.Value.(*Finding).Condemned {
+	if ok && !element.Value.(*Finding).Blocked {
 		t.remove(element)
 	}
 	delete(t.remoteLosses, body)
@@ -156,8 +156,8 @@
 // ClearSuspicionAndLosses is ClearSuspicion that also discards unevaluated losses of
 // the body. A body that is requested very often runs on every server that crashes;
 // that it completes is the one thing that a body which crashes servers can't do.
-func (t *Table) Cleared(body Body) {
-	t.Acquit(body)
+func (t *Table) ClearSuspicionAndLosses(body Body) {
+	t.ClearSuspicion(body)
 	if t.pendingCrashes[body] == 0 {
 		return
 	}
@@ -171,11 +171,11 @@
 // union of the crashed processes, and at least as many as any single VM counted, so
 // the result doesn't depend on the order of arrival. It reports whether the finding
 // newly blocks the body.
-func (t *Table) Learn(now time.Duration, learned Finding) bool {
+func (t *Table) MergeFinding(now time.Duration, learned Finding) bool {
 	if learned.Hash == 0 || t.expired(now, &learned) {
 		return false
 	}
-	if learned.Suspected {
+	if learned.Unproven {
 		t.addRemoteLoss(now, learned)
 		return false
 	}
@@ -185,10 +185,10 @@
 	if finding == nil {
 		finding = t.add(learned.Body)
 	}
-	newly := learned.Condemned && !finding.Condemned
+	newly := learned.Blocked && !finding.Blocked
 	finding.addCrashSite(crashSiteOf(learned.Server, learned.Incarnation))
 	finding.Crashes = max(finding.Crashes, learned.Crashes, len(finding.crashSites))
-	finding.Condemned = finding.Condemned || learned.Condemned
+	finding.Blocked = finding.Blocked || learned.Blocked
 	if learned.At >= finding.At {
 		finding.At, finding.Server, finding.Incarnation = learned.At, learned.Server, learned.Incarnation
 	}
@@ -232,7 +232,7 @@
 }
 
 func (t *Table) expired(now time.Duration, finding *Finding) bool {
-	if finding.Condemned {
+	if finding.Blocked {
 		return now-finding.At >= t.options.CondemnedTime
 	}
 	return now-finding.At >= t.options.SuspectTime
@@ -252,7 +252,7 @@
 
 func (t *Table) evictionCandidate() *list.Element {
 	for element := t.order.Front(); element != nil; element = element.Next() {
-		if !element.Value.(*Finding).Condemned {
+		if !element.Value.(*Finding).Blocked {
 			return element
 		}
 	}
--- a/internal/core/poison/poison_test.go
+++ b/internal/core/poison/poison_test.go
@@ -17,10 +17,10 @@
 // crashServer loses a server that runs the given bodies, and evaluates the crash.
 func crashServer(t *poison.Table, now time.Duration, server string, progress int, hashes ...int) []poison.Finding {
 	for _, hash := range hashes {
-		t.Lost(now, poison.Loss{Server: server, Incarnation: 1, Body: body(hash), Progress: progress})
+		t.RecordLoss(now, poison.Loss{Server: server, Incarnation: 1, Body: body(hash), Progress: progress})
 	}
-	t.Refused(now, server)
-	return t.Judge(now + 500*time.Millisecond)
+	t.ConnectionRefused(now, server)
+	return t.Evaluate(now + 500*time.Millisecond)
 }
 
 // Ten servers with twenty streams each are lost at once, and each stream then
@@ -31,16 +31,16 @@
 	table := poison.New(poison.Options{})
 	for server := range 10 {
 		for stream := range 20 {
-			table.Lost(time.Second, poison.Loss{Server: fmt.Sprint("s", server), Body: body(1 + server*20 + stream)})
+			table.RecordLoss(time.Second, poison.Loss{Server: fmt.Sprint("s", server), Body: body(1 + server*20 + stream)})
 		}
 	}
 	for server := range 10 {
-		table.Refused(time.Second, fmt.Sprint("s", server))
+		table.ConnectionRefused(time.Second, fmt.Sprint("s", server))
 	}
-	g.Expect(table.Judge(2 * time.Second)).To(HaveLen(200))
+	g.Expect(table.Evaluate(2 * time.Second)).To(HaveLen(200))
 	for hash := 1; hash <= 200; hash++ {
 		g.Expect(table.Level(2*time.Second, body(hash))).To(Equal(poison.Suspect))
-		table.Acquit(body(hash))
+		table.ClearSuspicion(body(hash))
 	}
 	g.Expect(table.Len()).To(BeZero())
 }
@@ -50,17 +50,17 @@
 func TestABrokenLinkIsNoCrash(t *testing.T) {
 	g := NewWithT(t)
 	table := poison.New(poison.Options{})
-	table.Seen(0, 0, "s1", 5)
-	table.Lost(time.Second, poison.Loss{Server: "s1", Incarnation: 5, Body: body(1)})
-	table.Seen(1500*time.Millisecond, time.Second, "s1", 5)
-	g.Expect(table.Waiting(body(1))).To(BeTrue(), "a report from before the loss is no proof")
-	table.Seen(2*time.Second, 0, "s1", 5)
-	g.Expect(table.Waiting(body(1))).To(BeFalse())
-	g.Expect(table.Judge(time.Minute)).To(BeEmpty())
+	table.RecordProbedIncarnation(0, 0, "s1", 5)
+	table.RecordLoss(time.Second, poison.Loss{Server: "s1", Incarnation: 5, Body: body(1)})
+	table.RecordProbedIncarnation(1500*time.Millisecond, time.Second, "s1", 5)
+	g.Expect(table.DecisionPending(body(1))).To(BeTrue(), "a report from before the loss is no proof")
+	table.RecordProbedIncarnation(2*time.Second, 0, "s1", 5)
+	g.Expect(table.DecisionPending(body(1))).To(BeFalse())
+	g.Expect(table.Evaluate(time.Minute)).To(BeEmpty())
 
-	table.Lost(time.Minute, poison.Loss{Server: "s1", Incarnation: 5, Body: body(1)})
-	table.Seen(time.Minute, 0, "s1", 6)
-	g.Expect(table.Judge(time.Minute+time.Second)).To(HaveLen(1), "a new process is proof")
+	table.RecordLoss(time.Minute, poison.Loss{Server: "s1", Incarnation: 5, Body: body(1)})
+	table.RecordProbedIncarnation(time.Minute, 0, "s1", 6)
+	g.Expect(table.Evaluate(time.Minute+time.Second)).To(HaveLen(1), "a new process is proof")
 }
 
 // A server crashes and restarts at once. Another VM's outdated report of the old
@@ -69,12 +69,12 @@
 func TestIncarnationsReportedByPeersAreNoProof(t *testing.T) {
 	g := NewWithT(t)
 	table := poison.New(poison.Options{})
-	table.Told("s1", 5)
-	table.Lost(time.Second, poison.Loss{Server: "s1", Body: body(1)})
-	table.Told("s1", 5)
-	g.Expect(table.Waiting(body(1))).To(BeTrue())
-	table.Seen(1100*time.Millisecond, 0, "s1", 6)
-	g.Expect(table.Judge(2 * time.Second)).To(HaveLen(1))
+	table.RecordPeerIncarnation("s1", 5)
+	table.RecordLoss(time.Second, poison.Loss{Server: "s1", Body: body(1)})
+	table.RecordPeerIncarnation("s1", 5)
+	g.Expect(table.DecisionPending(body(1))).To(BeTrue())
+	table.RecordProbedIncarnation(1100*time.Millisecond, 0, "s1", 6)
+	g.Expect(table.Evaluate(2 * time.Second)).To(HaveLen(1))
 }
 
 // A long stream loses a server, continues for many tokens, and loses another. Two
@@ -83,11 +83,11 @@
 	g := NewWithT(t)
 	table := poison.New(poison.Options{})
 	crashServer(table, time.Second, "s1", 5, 1)
-	crashServer(table, 2*time.Second, "s2", poison.ProgressTokens, 1)
-	table.Judge(time.Minute)
+	crashServer(table, 2*time.Second, "s2", poison.MinProgressTokens, 1)
+	table.Evaluate(time.Minute)
 	g.Expect(table.Level(time.Minute, body(1))).To(Equal(poison.Isolate))
-	crashServer(table, time.Minute, "s3", poison.ProgressTokens, 1)
-	g.Expect(table.Level(61*time.Second, body(1))).To(Equal(poison.Condemned), "a third crash confirms")
+	crashServer(table, time.Minute, "s3", poison.MinProgressTokens, 1)
+	g.Expect(table.Level(61*time.Second, body(1))).To(Equal(poison.Blocked), "a third crash confirms")
 }
 
 // A suspect and other bodies run on a server that crashes. The others must not be
@@ -97,8 +97,8 @@
 	table := poison.New(poison.Options{})
 	crashServer(table, time.Second, "s1", 0, 1)
 	crashServer(table, 2*time.Second, "s2", 0, 1, 2, 3, 4)
-	table.Judge(time.Minute)
-	g.Expect(table.Level(time.Minute, body(1))).To(Equal(poison.Condemned))
+	table.Evaluate(time.Minute)
+	g.Expect(table.Level(time.Minute, body(1))).To(Equal(poison.Blocked))
 	for hash := 2; hash <= 4; hash++ {
 		g.Expect(table.Level(time.Minute, body(hash))).To(Equal(poison.Suspect))
 	}
@@ -111,7 +111,7 @@
 	findings := []poison.Finding{
 		{Body: body(1), Crashes: 1, Server: "s1", Incarnation: 7},
 		{Body: body(1), Crashes: 1, Server: "s2", Incarnation: 8},
-		{Body: body(1), Crashes: 1, Server: "s1", Incarnation: 7, Suspected: true},
+		{Body: body(1), Crashes: 1, Server: "s1", Incarnation: 7, Unproven: true},
 		{Body: body(1), Crashes: 1, Server: "s2", Incarnation: 8},
 	}
 	for first := range findings {
@@ -119,16 +119,16 @@
 		table := poison.New(poison.Options{})
 		highest := 0
 		for i := range findings {
-			table.Learn(0, findings[(first+i)%len(findings)])
-			g.Expect(table.Crashes(0, body(1))).To(BeNumerically(">=", highest), "the count never decreases")
-			highest = table.Crashes(0, body(1))
+			table.MergeFinding(0, findings[(first+i)%len(findings)])
+			g.Expect(table.CrashCount(0, body(1))).To(BeNumerically(">=", highest), "the count never decreases")
+			highest = table.CrashCount(0, body(1))
 		}
 		g.Expect(highest).To(Equal(2))
 		g.Expect(table.Level(0, body(1))).To(Equal(poison.Isolate))
-		table.Lost(time.Second, poison.Loss{Server: "s2", Incarnation: 8, Body: body(1)})
-		table.Refused(time.Second, "s2")
-		table.Judge(2 * time.Second)
-		g.Expect(table.Crashes(2*time.Second, body(1))).To(Equal(2), "the crash that another VM reported")
+		table.RecordLoss(time.Second, poison.Loss{Server: "s2", Incarnation: 8, Body: body(1)})
+		table.ConnectionRefused(time.Second, "s2")
+		table.Evaluate(2 * time.Second)
+		g.Expect(table.CrashCount(2*time.Second, body(1))).To(Equal(2), "the crash that another VM reported")
 	}
 }
 
@@ -138,19 +138,19 @@
 func TestAnUnprovenLossOnAnotherVMCountsForAWhile(t *testing.T) {
 	g := NewWithT(t)
 	table := poison.New(poison.Options{})
-	lost := poison.Finding{Body: body(1), Crashes: 1, Server: "s1", Incarnation: 7, Suspected: true}
-	table.Learn(0, lost)
+	lost := poison.Finding{Body: body(1), Crashes: 1, Server: "s1", Incarnation: 7, Unproven: true}
+	table.MergeFinding(0, lost)
 	g.Expect(table.Level(0, body(1))).To(Equal(poison.Suspect))
-	g.Expect(table.Waiting(body(1))).To(BeFalse(), "a single loss may be a link failure")
+	g.Expect(table.DecisionPending(body(1))).To(BeFalse(), "a single loss may be a link failure")
 	lost.Server = "s2"
-	table.Learn(0, lost)
+	table.MergeFinding(0, lost)
 	g.Expect(table.Level(0, body(1))).To(Equal(poison.Isolate))
-	g.Expect(table.Waiting(body(1))).To(BeTrue())
-	due, pending := table.Due()
+	g.Expect(table.DecisionPending(body(1))).To(BeTrue())
+	due, pending := table.NextDue()
 	g.Expect(pending).To(BeTrue())
-	table.Judge(due)
+	table.Evaluate(due)
 	g.Expect(table.Level(due, body(1))).To(Equal(poison.Clear))
-	g.Expect(table.Waiting(body(1))).To(BeFalse())
+	g.Expect(table.DecisionPending(body(1))).To(BeFalse())
 }
 
 // Thousands of suspects must neither let the table grow without bound nor evict a
@@ -160,14 +160,14 @@
 	table := poison.New(poison.Options{Bodies: 100})
 	crashServer(table, time.Second, "s1", 0, 1)
 	crashServer(table, 2*time.Second, "s2", 0, 1)
-	table.Judge(5 * time.Second)
+	table.Evaluate(5 * time.Second)
 	for i := range 1000 {
 		crashServer(table, 10*time.Second, fmt.Sprint("t", i), 0, 10+i)
 	}
 	g.Expect(table.Len()).To(Equal(100))
-	g.Expect(table.Level(11*time.Second, body(1))).To(Equal(poison.Condemned))
+	g.Expect(table.Level(11*time.Second, body(1))).To(Equal(poison.Blocked))
 
 	g.Expect(table.Level(11*time.Minute, body(1009))).To(Equal(poison.Clear), "a suspicion expires")
-	g.Expect(table.Level(59*time.Minute, body(1))).To(Equal(poison.Condemned))
+	g.Expect(table.Level(59*time.Minute, body(1))).To(Equal(poison.Blocked))
 	g.Expect(table.Level(2*time.Hour, body(1))).To(Equal(poison.Clear), "a block expires")
 }
--- a/internal/core/poison/remote.go
+++ b/internal/core/poison/remote.go
@@ -59,7 +59,7 @@
 func (t *Table) removeRemoteLoss(learned Finding) {
 	sites := t.remoteLosses[learned.Body]
 	delete(sites, crashSiteOf(learned.Server, learned.Incarnation))
-	if learned.Condemned || len(sites) == 0 {
+	if learned.Blocked || len(sites) == 0 {
 		delete(t.remoteLosses, learned.Body)
 	}
 }
--- a/internal/core/ratelimit/fleet_test.go
+++ b/internal/core/ratelimit/fleet_test.go
@@ -145,9 +145,9 @@
 // exchange updates the live VMs of all VMs and delivers the newest report that is at least
 // reportLag old.
 func (f *fleet) exchange() {
-	var newest ratelimit.Word
+	var newest ratelimit.Report
 	for _, v := range f.vms {
-		if report, ok := v.limits.Words(f.now)["s1"]; ok && v.up && report.At > newest.At && report.At+reportLag <= f.now {
+		if report, ok := v.limits.Reports(f.now)["s1"]; ok && v.up && report.ObservedAt > newest.ObservedAt && report.ObservedAt+reportLag <= f.now {
 			newest = report
 		}
 	}
@@ -155,12 +155,12 @@
 		if !v.up {
 			continue
 		}
-		if newest.At > 0 {
-			v.limits.Heard(f.now, "s1", "a", newest)
+		if newest.ObservedAt > 0 {
+			v.limits.MergeReport(f.now, "s1", "a", newest)
 		}
 		if f.now >= v.startedAt+startupDelay && (!v.hasView || len(v.pending) > 0 || f.partitioned != f.lastPartitioned) {
 			v.hasView = true
-			v.limits.Live(f.now, v.Name, f.view(v))
+			v.limits.SetLiveVMs(f.now, v.Name, f.view(v))
 		}
 	}
 	f.lastPartitioned = f.partitioned
@@ -171,7 +171,7 @@
 	if f.partitioned != "" && v.DataCentre == f.partitioned || !v.limits.Allows(f.now, "s1") {
 		return
 	}
-	v.limits.Sent(f.now, "s1")
+	v.limits.RecordSent(f.now, "s1")
 	f.all = append(f.all, f.now)
 	if v.rateAt > 0 && f.now >= v.rateAt+exemptAfterRate && f.now >= v.startedAt+exemptAfterStart {
 		f.counted = append(f.counted, f.now)
@@ -179,7 +179,7 @@
 	if v.rateAt == 0 {
 		v.rateAt = f.now
 	}
-	v.limits.Said(f.now, f.now, "s1", "a", f.perSecond)
+	v.limits.ObserveAnswer(f.now, f.now, "s1", "a", f.perSecond)
 }
 
 // maxInWindow returns the highest number of counted requests in any window.
--- a/internal/core/ratelimit/reports.go
+++ b/internal/core/ratelimit/reports.go
@@ -19,17 +19,17 @@
 // endReportFor is how long other VMs are informed that a server no longer sets a rate.
 const endReportFor = 5 * time.Second
 
-// Word is a report of the rate that a server has set.
-type Word struct {
+// Report is an observation of the rate that a server has set.
+type Report struct {
 	// PerSecond is the number of requests per second that the server accepts from all VMs
 	// together.
 	PerSecond float64
-	// At is when the rate was observed, by this VM's clock.
-	At time.Duration
+	// ObservedAt is when the rate was observed, by this VM's clock.
+	ObservedAt time.Duration
 }
 
 // Limited reports whether the server sets a rate.
-func (w Word) Limited() bool { return !math.IsInf(w.PerSecond, 1) }
+func (w Report) Limited() bool { return !math.IsInf(w.PerSecond, 1) }
 
 // Limits holds the rates of limited servers and this VM's shares of them.
 type Limits struct {
@@ -42,7 +42,7 @@
 
 // serverState is what is known about one server.
 type serverState struct {
-	report     Word
+	report     Report
 	dataCentre string
 	// endReportUntil is until when other VMs are informed that the limit has ended.
 	endReportUntil time.Duration
@@ -54,39 +54,39 @@
 // New returns limits with no servers and no VMs.
 func New() *Limits { return &Limits{servers: make(map[string]*serverState)} }
 
-// Said records the rate in a server's own answer to a request that was sent at the given time
+// ObserveAnswer records the rate in a server's own answer to a request that was sent at the given time
 // and answered now. perSecond is Unlimited if the answer sets no rate. It reports whether the
 // rate changed.
 //
 // An answer without a rate does not end a limit that was reported after the request was sent,
 // because the answer may be older than the limit.
-func (l *Limits) Said(now, sent time.Duration, id, dataCentre string, perSecond float64) bool {
-	report := Word{PerSecond: perSecond, At: now}
+func (l *Limits) ObserveAnswer(now, sent time.Duration, id, dataCentre string, perSecond float64) bool {
+	report := Report{PerSecond: perSecond, ObservedAt: now}
 	if !report.Limited() {
-		report.At = sent
+		report.ObservedAt = sent
 	}
 	return l.merge(now, id, dataCentre, report)
 }
 
-// Heard merges a report from another VM. If that VM still reports a limit that has ended, the
+// MergeReport merges a report from another VM. If that VM still reports a limit that has ended, the
 // end is announced again.
-func (l *Limits) Heard(now time.Duration, id, dataCentre string, report Word) {
-	if known, ok := l.servers[id]; ok && report.At < known.report.At && report.Limited() && !known.report.Limited() {
+func (l *Limits) MergeReport(now time.Duration, id, dataCentre string, report Report) {
+	if known, ok := l.servers[id]; ok && report.ObservedAt < known.report.ObservedAt && report.Limited() && !known.report.Limited() {
 		known.endReportUntil = now + endReportFor
 		return
 	}
 	l.merge(now, id, dataCentre, report)
 }
 
-func (l *Limits) merge(now time.Duration, id, dataCentre string, report Word) (changed bool) {
+func (l *Limits) merge(now time.Duration, id, dataCentre string, report Report) (changed bool) {
 	known, ok := l.servers[id]
 	switch {
 	case !ok && !report.Limited():
 		return false
 	case !ok:
-		known = &serverState{report: Word{PerSecond: Unlimited}, dataCentre: dataCentre}
+		known = &serverState{report: Report{PerSecond: Unlimited}, dataCentre: dataCentre}
 		l.servers[id] = known
-	case report.At < known.report.At:
+	case report.ObservedAt < known.report.ObservedAt:
 		return false
 	}
 	changed = known.report.PerSecond != report.PerSecond
@@ -103,9 +103,9 @@
 // Forget removes a server that no longer exists.
 func (l *Limits) Forget(id string) { delete(l.servers, id) }
 
-// Words returns the rates and the ended limits to report to other VMs.
-func (l *Limits) Words(now time.Duration) map[string]Word {
-	reports := make(map[string]Word)
+// Reports returns the rates and the ended limits to report to other VMs.
+func (l *Limits) Reports(now time.Duration) map[string]Report {
+	reports := make(map[string]Report)
 	for id, known := range l.servers {
 		if known.report.Limited() || now < known.endReportUntil {
 			reports[id] = known.report
@@ -114,10 +114,10 @@
 	return reports
 }
 
-// Word returns what is known of a server's rate.
-func (l *Limits) Word(id string) Word {
+// Report returns what is known of a server's rate.
+func (l *Limits) Report(id string) Report {
 	if known, ok := l.servers[id]; ok {
 		return known.report
 	}
-	return Word{PerSecond: Unlimited}
+	return Report{PerSecond: Unlimited}
 }
--- a/internal/core/ratelimit/shares.go
+++ b/internal/core/ratelimit/shares.go
@@ -24,8 +24,8 @@
 // rankPrefix is prepended to a server's ID to form the role for which VMs are ranked.
 const rankPrefix = "limited/"
 
-// Live sets the live VMs. They include this VM as long as it may send requests.
-func (l *Limits) Live(now time.Duration, self string, vms []lease.VM) {
+// SetLiveVMs sets the live VMs. They include this VM as long as it may send requests.
+func (l *Limits) SetLiveVMs(now time.Duration, self string, vms []lease.VM) {
 	vms = slices.SortedFunc(slices.Values(vms), func(a, b lease.VM) int { return cmp.Compare(a.Name, b.Name) })
 	if l.self == self && slices.Equal(l.vms, vms) {
 		return
@@ -96,16 +96,16 @@
 	return known.bucket != nil && known.bucket.TokensAt(toTime(now)) >= 1
 }
 
-// Sent records that a request was sent to a server.
-func (l *Limits) Sent(now time.Duration, id string) {
+// RecordSent records that a request was sent to a server.
+func (l *Limits) RecordSent(now time.Duration, id string) {
 	if known, ok := l.servers[id]; ok && known.bucket != nil {
 		known.bucket.AllowN(toTime(now), 1)
 	}
 }
 
-// Next returns how long this VM has to wait before it may send a request to a limited server,
+// NextSend returns how long this VM has to wait before it may send a request to a limited server,
 // and its share of the server's rate in requests per second. The share is 0 if it may send none.
-func (l *Limits) Next(now time.Duration, id string) (wait time.Duration, share float64) {
+func (l *Limits) NextSend(now time.Duration, id string) (wait time.Duration, share float64) {
 	known, ok := l.servers[id]
 	if !ok || known.bucket == nil {
 		return 0, 0
--- a/internal/core/request/budget.go
+++ b/internal/core/request/budget.go
@@ -51,8 +51,8 @@
 	return Budget{options: options}
 }
 
-// Earn counts a first attempt, which adds to the budget.
-func (b *Budget) Earn() { b.spent = max(0, b.spent-b.options.Ratio) }
+// RecordFirstAttempt counts a first attempt, which adds to the budget.
+func (b *Budget) RecordFirstAttempt() { b.spent = max(0, b.spent-b.options.Ratio) }
 
 // Spend requests a retry. It is granted after the returned wait, which is often
 // 0. If the wait would be too long, nothing is spent and ok is false.
--- a/internal/core/request/keys.go
+++ b/internal/core/request/keys.go
@@ -30,9 +30,9 @@
 // NewKeys returns an empty table.
 func NewKeys() *Keys { return &Keys{byName: make(map[keyName]*list.Element)} }
 
-// Use records the use of a key. It returns false if the key was used with
+// CheckAndRecord records the use of a key. It returns false if the key was used with
 // another body.
-func (k *Keys) Use(now time.Duration, account, key string, bodyHash uint64) bool {
+func (k *Keys) CheckAndRecord(now time.Duration, account, key string, bodyHash uint64) bool {
 	k.evict(now)
 	name := keyName{account, key}
 	if element, ok := k.byName[name]; ok {
--- a/internal/core/request/request.go
+++ b/internal/core/request/request.go
@@ -41,8 +41,8 @@
 	// Lost: the connection failed after the first byte was sent; the attempt may
 	// have run.
 	Lost Outcome = "lost"
-	// Broken: the attempt produced tokens and then failed.
-	Broken Outcome = "broken"
+	// Interrupted: the attempt produced tokens and then failed.
+	Interrupted Outcome = "broken"
 	// BadReceipt: a token's receipts did not prove that each layer ran exactly
 	// once, in order.
 	BadReceipt Outcome = "bad_receipt"
@@ -75,15 +75,15 @@
 	// Pool names the admission pool of the request: one model or one plain
 	// service.
 	Pool string
-	// Slot is true if the request holds a slot of its pool.
-	Slot bool
-	// Claimed is true if a claim was requested and must be settled at the end.
+	// HasSlot is true if the request holds a slot of its pool.
+	HasSlot bool
+	// ClaimUnsettled is true if a claim was requested and must be settled at the end.
 	// ValidUntil is when the permission to dispatch that it granted expires.
-	Claimed    bool
-	ValidUntil time.Duration
-	// Granted is true if the claim was granted: until ValidUntil, no other
+	ClaimUnsettled bool
+	ValidUntil     time.Duration
+	// ClaimGranted is true if the claim was granted: until ValidUntil, no other
 	// request with the key ran.
-	Granted bool
+	ClaimGranted bool
 	// Attempt is the number of the current attempt, from 1, and Path its servers.
 	Attempt int
 	Path    route.Path
@@ -101,55 +101,55 @@
 	FailuresWithoutProgress int
 	// Moves counts the attempts that were ended on purpose to move the stream.
 	Moves int
-	// Losses counts the attempts that may have crashed a server. Progress is the
+	// SuspectedCrashes counts the attempts that may have crashed a server. LastProgress is the
 	// number of tokens that the last failed attempt delivered.
-	Losses   int
-	Progress int
+	SuspectedCrashes int
+	LastProgress     int
 	// TriedServers lists the servers on the paths of failed attempts. SentAt is
 	// when the current attempt was dispatched.
 	TriedServers []string
 	SentAt       time.Duration
-	// Patience is when the wait for a path ends. 0 before the first wait.
-	Patience time.Duration
+	// PathWaitUntil is when the wait for a path ends. 0 before the first wait.
+	PathWaitUntil time.Duration
 	// Isolated is true if the current attempt must not share a server with
 	// another isolated attempt.
 	Isolated bool
 	// Confirming is true while the other VMs are asked what they know of the
-	// body, until ConfirmBy at the latest. Confirmed is the attempt, from 1, that
-	// they were last asked about. Alone is true if some of them did not answer.
-	Confirming bool
-	ConfirmBy  time.Duration
-	Confirmed  int
-	Alone      bool
-	// Awaited is the last attempt, from 1, that was delayed to wait for proof of
+	// body, until ConfirmBy at the latest. ConfirmedAttempt is the attempt, from 1, that
+	// they were last asked about. ConfirmIncomplete is true if some of them did not answer.
+	Confirming        bool
+	ConfirmBy         time.Duration
+	ConfirmedAttempt  int
+	ConfirmIncomplete bool
+	// ProofWaitAttempt is the last attempt, from 1, that was delayed to wait for proof of
 	// a crash.
-	Awaited int
-	// Wake is when the request's wait ends. 0 if it does not wait.
-	Wake time.Duration
+	ProofWaitAttempt int
+	// WaitUntil is when the request's wait ends. 0 if it does not wait.
+	WaitUntil time.Duration
 }
 
 // MayBeRepeat reports whether, as far as this VM knows, the caller may have sent
 // this request before under the same key and that request may have run.
 func (r *Request) MayBeRepeat(now time.Duration) bool {
-	return r.KeyGiven && !r.Idempotent && (!r.Granted || now >= r.ValidUntil)
+	return r.KeyGiven && !r.Idempotent && (!r.ClaimGranted || now >= r.ValidUntil)
 }
 
-// Move changes the state. It returns false, and changes nothing, if the
+// Transition changes the state. It returns false, and changes nothing, if the
 // transition is not allowed.
-func (r *Request) Move(next State) bool {
+func (r *Request) Transition(next State) bool {
 	if !r.State.CanTransitionTo(next) {
 		return false
 	}
 	r.State = next
-	r.Wake = 0
+	r.WaitUntil = 0
 	return true
 }
 
-// Record updates the request with the outcome of an attempt. It returns whether
+// RecordOutcome updates the request with the outcome of an attempt. It returns whether
 // the request may have crashed the server.
-func (r *Request) Record(outcome Outcome, server string, tokens int) bool {
-	r.Progress = max(tokens-r.Tokens, 0)
-	progress := r.Progress > 0
+func (r *Request) RecordOutcome(outcome Outcome, server string, tokens int) bool {
+	r.LastProgress = max(tokens-r.Tokens, 0)
+	progress := r.LastProgress > 0
 	r.Tokens = max(r.Tokens, tokens)
 	r.updateExecution(outcome)
 	if outcome == Moved {
@@ -162,7 +162,7 @@
 	}
 	crashSuspected := r.mayHaveCrashed(outcome, server, progress)
 	if crashSuspected {
-		r.Losses++
+		r.SuspectedCrashes++
 	}
 	r.recordFailedServers(outcome, server)
 	return crashSuspected
@@ -170,7 +170,7 @@
 
 func (r *Request) updateExecution(outcome Outcome) {
 	switch {
-	case outcome == Broken || outcome == BadReceipt || r.Tokens > 0:
+	case outcome == Interrupted || outcome == BadReceipt || r.Tokens > 0:
 		r.Execution = Ran
 	case (outcome == Lost || outcome == Moved) && r.Execution == NotRun:
 		r.Execution = MayHaveRun
@@ -186,7 +186,7 @@
 // token since, was probably lost together with the server that failed then: when
 // a rack fails, the loss of its servers on a path is detected one by one.
 func (r *Request) mayHaveCrashed(outcome Outcome, server string, progress bool) bool {
-	if server == "" || outcome != Lost && outcome != Broken {
+	if server == "" || outcome != Lost && outcome != Interrupted {
 		return false
 	}
 	return progress || !slices.Contains(r.TriedServers, server)
@@ -207,9 +207,9 @@
 	}
 }
 
-// Suspect adds servers to Avoid of which one, not known which, was at fault.
+// AvoidServers adds servers to Avoid of which one, not known which, was at fault.
 // None of them counts as a suspected crash.
-func (r *Request) Suspect(servers []string) {
+func (r *Request) AvoidServers(servers []string) {
 	for _, server := range servers {
 		if !slices.Contains(r.Avoid, server) {
 			r.Avoid = append(r.Avoid, server)
@@ -217,9 +217,9 @@
 	}
 }
 
-// MayRepeat reports whether another attempt keeps the guarantee that a
+// MayRetry reports whether another attempt keeps the guarantee that a
 // non-idempotent request runs at most once: only an idempotent request, or one
 // that provably did not run, is retried.
-func (r *Request) MayRepeat() bool {
+func (r *Request) MayRetry() bool {
 	return r.Idempotent || r.Execution == NotRun
 }
--- a/internal/core/request/request_test.go
+++ b/internal/core/request/request_test.go
@@ -25,7 +25,7 @@
 		g.Expect(from.CanTransitionTo(request.Queued)).To(BeFalse(), "%s to queued", from)
 	}
 	r := request.Request{State: request.Ended}
-	g.Expect(r.Move(request.Dispatched)).To(BeFalse())
+	g.Expect(r.Transition(request.Dispatched)).To(BeFalse())
 	g.Expect(r.State).To(Equal(request.Ended))
 }
 
@@ -34,18 +34,18 @@
 // outcomes.
 func TestExecutionNeverWeakens(t *testing.T) {
 	strength := map[request.Execution]int{request.NotRun: 0, request.MayHaveRun: 1, request.Ran: 2}
-	outcomes := []request.Outcome{request.ProvenNotRun, request.Lost, request.Broken, request.BadReceipt}
+	outcomes := []request.Outcome{request.ProvenNotRun, request.Lost, request.Interrupted, request.BadReceipt}
 	for _, first := range outcomes {
 		for _, second := range outcomes {
 			t.Run(fmt.Sprint(first, " then ", second), func(t *testing.T) {
 				g := NewWithT(t)
 				r := request.Request{Execution: request.NotRun}
-				r.Record(first, "s1", 0)
+				r.RecordOutcome(first, "s1", 0)
 				before := r.Execution
 				g.Expect(before == request.NotRun).To(Equal(first == request.ProvenNotRun))
-				r.Record(second, "s2", 0)
+				r.RecordOutcome(second, "s2", 0)
 				g.Expect(strength[r.Execution]).To(BeNumerically(">=", strength[before]))
-				g.Expect(r.MayRepeat()).To(Equal(r.Execution == request.NotRun))
+				g.Expect(r.MayRetry()).To(Equal(r.Execution == request.NotRun))
 			})
 		}
 	}
@@ -61,7 +61,7 @@
 	first, retried := 0, 0
 	for i := range perSecond * seconds {
 		now := time.Duration(i) * time.Second / perSecond
-		budget.Earn()
+		budget.RecordFirstAttempt()
 		first++
 		for range 3 {
 			if _, ok := budget.Spend(now, inFlight); ok {
--- a/internal/core/request_property_test.go
+++ b/internal/core/request_property_test.go
@@ -260,7 +260,7 @@
 func (s *simulation) endAttempt() {
 	p := s.pick(func(p *requestModel) bool { return p.attemptRunning })
 	s.endAttemptWith(p, rapid.SampledFrom([]request.Outcome{
-		request.Completed, request.ProvenNotRun, request.Lost, request.Broken, request.BadReceipt, request.Moved,
+		request.Completed, request.ProvenNotRun, request.Lost, request.Interrupted, request.BadReceipt, request.Moved,
 	}).Draw(s.t, "outcome"))
 }
 
@@ -276,7 +276,7 @@
 	switch {
 	case outcome == request.Completed:
 		p.ended, p.ran = true, true
-	case outcome == request.Broken || outcome == request.BadReceipt || p.tokens > 0:
+	case outcome == request.Interrupted || outcome == request.BadReceipt || p.tokens > 0:
 		p.ran = true
 	case outcome == request.Lost || outcome == request.Moved:
 		p.mayHaveRun = true
@@ -297,14 +297,14 @@
 func (s *simulation) disconnectCaller() {
 	p := s.pick(func(p *requestModel) bool { return !p.ended })
 	p.ended = true
-	s.step(core.CallerGone{Request: p.arrived.Request})
+	s.step(core.CallerDisconnected{Request: p.arrived.Request})
 	p.attemptRunning = false
 }
 
 func (s *simulation) reportServer() {
 	name := rapid.SampledFrom([]string{"s0", "s1", "s2", "s3"}).Draw(s.t, "server")
 	if rapid.Bool().Draw(s.t, "refused") {
-		s.step(core.ServerSilent{Server: name, Witness: "a", Refused: true})
+		s.step(core.ServerProbeFailed{Server: name, Witness: "a", Refused: true})
 		return
 	}
 	incarnation := uint64(rapid.IntRange(1, 3).Draw(s.t, "incarnation"))
--- a/internal/core/requests.go
+++ b/internal/core/requests.go
@@ -91,7 +91,7 @@
 
 func (m *Machine) nextTimer() (Time, bool) {
 	at, found := m.earliestTimer()
-	if due, ok := m.lifecycle.poison.Due(); ok && (!found || due < at) {
+	if due, ok := m.lifecycle.poison.NextDue(); ok && (!found || due < at) {
 		at, found = due, true
 	}
 	if due, ok := m.nextMoveTime(); ok && (!found || due < at) {
@@ -110,7 +110,7 @@
 	for len(m.lifecycle.freedPools) > 0 {
 		pool := m.lifecycle.freedPools[0]
 		m.lifecycle.freedPools = m.lifecycle.freedPools[1:]
-		for _, id := range m.lifecycle.admission.Next(now, pool) {
+		for _, id := range m.lifecycle.admission.StartQueued(now, pool) {
 			m.start(now, m.requests[id])
 		}
 	}
@@ -128,10 +128,10 @@
 func (m *Machine) finish(now Time, r *request.Request, learn bool) {
 	m.endIsolation(r)
 	m.moveEnded(r.ID)
-	r.Move(request.Ended)
+	r.Transition(request.Ended)
 	delete(m.requests, r.ID)
 	m.router.Release(string(r.ID))
-	if r.Claimed {
+	if r.ClaimUnsettled {
 		m.emit(ClaimSettled{Request: r.ID, Key: claimKey(r), Execution: r.Execution})
 	}
 	m.releaseSlot(now, r, learn)
@@ -140,12 +140,12 @@
 // releaseSlot frees a request's slot, or removes the request from the queue if
 // it has none.
 func (m *Machine) releaseSlot(now Time, r *request.Request, learn bool) {
-	if !r.Slot {
+	if !r.HasSlot {
 		m.lifecycle.admission.Remove(r.ID)
 		m.removeParked(r)
 		return
 	}
-	r.Slot = false
+	r.HasSlot = false
 	m.lifecycle.admission.Done(now, r.ID, r.Tokens, learn)
 	m.markFreed(r.Pool)
 	body := bodyOf(r)
--- a/internal/core/requests_arrival.go
+++ b/internal/core/requests_arrival.go
@@ -57,9 +57,9 @@
 		m.refuse(now, r, request.ReasonUnknownPipeline, request.NotRun, 0)
 	case now >= r.Deadline:
 		m.refuse(now, r, request.ReasonDeadline, request.NotRun, 0)
-	case m.lifecycle.poison.Level(now, bodyOf(r)) == poison.Condemned:
+	case m.lifecycle.poison.Level(now, bodyOf(r)) == poison.Blocked:
 		m.refuse(now, r, request.ReasonPoison, request.Ran, 0)
-	case r.KeyGiven && r.Idempotent && r.BodyHash != 0 && !m.lifecycle.keys.Use(now, r.Account, r.Key, r.BodyHash):
+	case r.KeyGiven && r.Idempotent && r.BodyHash != 0 && !m.lifecycle.keys.CheckAndRecord(now, r.Account, r.Key, r.BodyHash):
 		m.refuse(now, r, request.ReasonBodyDiffers, request.NotRun, 0)
 	default:
 		return false
@@ -96,7 +96,7 @@
 		Deadline:     r.Deadline,
 		PromptTokens: r.PromptTokens,
 		MaxTokens:    r.MaxTokens,
-		Again:        readmitted,
+		RateCharged:  readmitted,
 	}, limits)
 	for _, evicted := range decision.Evicted {
 		m.endRefused(now, m.requests[evicted.ID], request.ReasonOverloaded, evicted.RetryAfter)
@@ -107,9 +107,9 @@
 	case decision.Reason != "":
 		m.endRefused(now, r, decision.Reason, decision.RetryAfter)
 	default:
-		r.Move(request.Queued)
+		r.Transition(request.Queued)
 		m.waitUntil(r, r.Deadline)
-		m.note(now, r, Note{Step: StepQueued, Until: r.Deadline, Text: queueText(decision.Wait)})
+		m.note(now, r, Note{Step: StepQueued, Until: r.Deadline, Text: queueText(decision.EstimatedWait)})
 		m.markFreed(r.Pool)
 	}
 }
@@ -124,13 +124,13 @@
 // start claims or dispatches a request that got a slot, or parks or refuses it
 // because of its body.
 func (m *Machine) start(now Time, r *request.Request) {
-	r.Slot = true
+	r.HasSlot = true
 	body := bodyOf(r)
 	m.lifecycle.running[body]++
 	switch level := m.lifecycle.poison.Level(now, body); {
-	case level == poison.Condemned:
+	case level == poison.Blocked:
 		m.endRefusedAs(now, r, request.ReasonPoison, request.Ran, 0)
-	case level >= poison.Suspect && (m.lifecycle.running[body] > 1 || m.lifecycle.poison.Waiting(body)):
+	case level >= poison.Suspect && (m.lifecycle.running[body] > 1 || m.lifecycle.poison.DecisionPending(body)):
 		m.park(now, r)
 	case !r.Idempotent:
 		m.claim(now, r)
@@ -146,7 +146,7 @@
 	m.releaseSlot(now, r, false)
 	body := bodyOf(r)
 	m.lifecycle.parked[body] = append(m.lifecycle.parked[body], r.ID)
-	r.Move(request.Queued)
+	r.Transition(request.Queued)
 	m.waitUntil(r, r.Deadline)
 	m.note(now, r, Note{Step: StepIsolated, Until: r.Deadline, Text: "its body is suspected of crashing a server; it waits until no other request with it runs and no verdict is due"})
 }
@@ -160,7 +160,7 @@
 		waiting := slices.Clone(m.lifecycle.parked[body])
 		for _, id := range waiting {
 			suspect := m.lifecycle.poison.Level(now, body) >= poison.Suspect
-			if suspect && (m.lifecycle.running[body] > 0 || m.lifecycle.poison.Waiting(body)) {
+			if suspect && (m.lifecycle.running[body] > 0 || m.lifecycle.poison.DecisionPending(body)) {
 				break
 			}
 			r := m.requests[id]
--- a/internal/core/requests_claims.go
+++ b/internal/core/requests_claims.go
@@ -27,8 +27,8 @@
 // claim asks the key's owner for the permission to dispatch a non-idempotent
 // request, which is granted to one request only.
 func (m *Machine) claim(now Time, r *request.Request) {
-	r.Move(request.Claiming)
-	r.Claimed = true
+	r.Transition(request.Claiming)
+	r.ClaimUnsettled = true
 	until := min(r.Deadline, now+claimTimeout)
 	m.waitUntil(r, until)
 	m.note(now, r, Note{Step: StepClaiming, Until: until})
@@ -50,15 +50,15 @@
 		m.noteLateReport(now, e.Request, 0, "answer to a claim")
 		return m.finishStep(now)
 	}
-	r.Wake = 0
+	r.WaitUntil = 0
 	if e.Verdict == VerdictGranted {
-		r.Granted = true
+		r.ClaimGranted = true
 		r.ValidUntil = e.ValidUntil
 		m.note(now, r, Note{Step: StepClaimed, Until: e.ValidUntil})
 		m.dispatch(now, r)
 		return m.finishStep(now)
 	}
-	r.Claimed = false
+	r.ClaimUnsettled = false
 	if refusal, ok := claimRefusals[e.Verdict]; ok {
 		m.endRefusedAs(now, r, refusal.reason, refusal.execution, refusal.retryAfter)
 	} else {
--- a/internal/core/requests_confirm.go
+++ b/internal/core/requests_confirm.go
@@ -23,15 +23,15 @@
 // the request wait. Otherwise a caller that sends a body to one VM after another
 // could crash servers through each of them until the findings have spread.
 func (m *Machine) checkSuspicion(now Time, r *request.Request) bool {
-	crashes := m.lifecycle.poison.Crashes(now, bodyOf(r))
-	if crashes == 0 || r.Confirmed > r.Attempt || mayContinueUnconfirmed(r, crashes) {
+	crashes := m.lifecycle.poison.CrashCount(now, bodyOf(r))
+	if crashes == 0 || r.ConfirmedAttempt > r.Attempt || mayContinueUnconfirmed(r, crashes) {
 		return true
 	}
 	if r.ConfirmBy == 0 {
 		r.ConfirmBy = min(now+confirmTimeout, r.Deadline)
 	}
 	r.Confirming = true
-	r.Move(request.Resuming)
+	r.Transition(request.Resuming)
 	m.waitUntil(r, min(now+confirmAttemptTimeout, r.Deadline))
 	m.note(now, r, Note{Step: StepWaiting, Until: r.ConfirmBy, Text: "its body may have crashed a server; the other VMs are asked what they know of it"})
 	m.emit(ConfirmSuspicion{Request: r.ID})
@@ -42,10 +42,10 @@
 // its own first loss, or of a second one before which it had made progress. Most
 // such losses are not the request's fault, and asking would pause its stream.
 func mayContinueUnconfirmed(r *request.Request, crashes int) bool {
-	if crashes > r.Losses {
+	if crashes > r.SuspectedCrashes {
 		return false
 	}
-	return crashes < crashesNeedingProof || crashes == crashesNeedingProof && r.Progress >= poison.ProgressTokens
+	return crashes < crashesNeedingProof || crashes == crashesNeedingProof && r.LastProgress >= poison.MinProgressTokens
 }
 
 func (m *Machine) suspicionConfirmed(now Time, e SuspicionConfirmed) []Action {
@@ -57,9 +57,9 @@
 		m.confirmationFailed(now, r)
 		return m.finishStep(now)
 	}
-	r.Confirming, r.Alone, r.ConfirmBy = false, false, 0
-	r.Confirmed = r.Attempt + 1
-	r.Wake = 0
+	r.Confirming, r.ConfirmIncomplete, r.ConfirmBy = false, false, 0
+	r.ConfirmedAttempt = r.Attempt + 1
+	r.WaitUntil = 0
 	m.confirmationDone(now, r)
 	return m.finishStep(now)
 }
@@ -70,10 +70,10 @@
 // refused after confirmTimeout.
 func (m *Machine) confirmationFailed(now Time, r *request.Request) {
 	r.Confirming = false
-	r.Wake = 0
+	r.WaitUntil = 0
 	switch {
-	case m.lifecycle.poison.Crashes(now, bodyOf(r)) < crashesNeedingProof:
-		r.Confirmed, r.Alone = r.Attempt+1, true
+	case m.lifecycle.poison.CrashCount(now, bodyOf(r)) < crashesNeedingProof:
+		r.ConfirmedAttempt, r.ConfirmIncomplete = r.Attempt+1, true
 		m.confirmationDone(now, r)
 	case now >= r.ConfirmBy && now < r.Deadline:
 		m.endRefused(now, r, request.ReasonAttempts, proofTimeout)
@@ -86,8 +86,8 @@
 // verdict on its body is pending, here or on another VM, the request waits for it
 // once before each attempt and then asks the other VMs again.
 func (m *Machine) confirmationDone(now Time, r *request.Request) {
-	if r.Awaited <= r.Attempt && now < r.Deadline && m.lifecycle.poison.Waiting(bodyOf(r)) {
-		r.Confirmed = 0
+	if r.ProofWaitAttempt <= r.Attempt && now < r.Deadline && m.lifecycle.poison.DecisionPending(bodyOf(r)) {
+		r.ConfirmedAttempt = 0
 		m.awaitProof(now, r, min(now+proofTimeout, r.Deadline))
 		return
 	}
--- a/internal/core/requests_dispatch.go
+++ b/internal/core/requests_dispatch.go
@@ -69,13 +69,13 @@
 
 func (m *Machine) send(now Time, r *request.Request, want requirements, path route.Path) {
 	if r.Attempt == 0 {
-		m.lifecycle.retryBudget.Earn()
+		m.lifecycle.retryBudget.RecordFirstAttempt()
 	}
-	r.Move(request.Dispatched)
+	r.Transition(request.Dispatched)
 	r.Attempt++
 	r.Path = path
 	r.SentAt = now
-	r.Patience = 0
+	r.PathWaitUntil = 0
 	m.beginIsolation(r)
 	m.note(now, r, Note{Step: StepDispatched, Servers: serverNames(path), Until: r.Deadline, Text: dispatchText(r)})
 	m.emit(Dispatch{
@@ -111,7 +111,7 @@
 }
 
 func (m *Machine) choosePath(now Time, r *request.Request, want requirements) (route.Path, error) {
-	r.Isolated = r.Alone || m.isCrashSuspect(now, r) || m.lifecycle.poison.Level(now, bodyOf(r)) >= poison.Isolate
+	r.Isolated = r.ConfirmIncomplete || m.isCrashSuspect(now, r) || m.lifecycle.poison.Level(now, bodyOf(r)) >= poison.Isolate
 	query := m.routeRequest(now, r, want)
 	if r.Isolated {
 		query.Faulty = slices.Concat(r.Faulty, slices.Sorted(maps.Keys(m.lifecycle.isolated)))
@@ -125,19 +125,19 @@
 // routeRequest returns the router's description of what a request requires.
 func (m *Machine) routeRequest(now Time, r *request.Request, want requirements) route.Request {
 	return route.Request{
-		ID:        string(r.ID),
-		Now:       now,
-		Model:     want.model,
-		Layers:    want.layers,
-		Version:   want.version,
-		Service:   want.service,
-		Avoid:     r.Avoid,
-		Faulty:    r.Faulty,
-		Prefixes:  r.Prefixes,
-		Priority:  r.Priority,
-		Deadline:  r.Deadline,
-		Tokens:    max(r.MaxTokens-r.Tokens, 0),
-		Delivered: r.Tokens,
+		ID:              string(r.ID),
+		Now:             now,
+		Model:           want.model,
+		Layers:          want.layers,
+		Version:         want.version,
+		Service:         want.service,
+		Avoid:           r.Avoid,
+		Faulty:          r.Faulty,
+		Prefixes:        r.Prefixes,
+		Priority:        r.Priority,
+		Deadline:        r.Deadline,
+		RemainingTokens: max(r.MaxTokens-r.Tokens, 0),
+		DeliveredTokens: r.Tokens,
 	}
 }
 
@@ -146,14 +146,14 @@
 // caller has part of the answer and a lost server may come back; so does one that
 // must run isolated.
 func (m *Machine) noPath(now Time, r *request.Request, err error) {
-	if r.Patience == 0 {
-		r.Patience = now + pathTimeout
+	if r.PathWaitUntil == 0 {
+		r.PathWaitUntil = now + pathTimeout
 	}
 	if r.Isolated && len(m.lifecycle.isolated) > 0 {
-		r.Patience = r.Deadline
+		r.PathWaitUntil = r.Deadline
 	}
 	waits := r.Attempt > 0 || r.Isolated
-	if !waits || now >= r.Patience {
+	if !waits || now >= r.PathWaitUntil {
 		m.endRefused(now, r, request.ReasonNoPath, retryAfterNoPath)
 		return
 	}
@@ -162,9 +162,9 @@
 	// live ones.
 	r.Avoid, r.Path = nil, nil
 	until := min(now+pathRetryInterval, r.Deadline)
-	r.Move(request.Resuming)
+	r.Transition(request.Resuming)
 	m.waitUntil(r, until)
-	m.note(now, r, Note{Step: StepWaiting, Until: r.Patience, Text: pathText(err)})
+	m.note(now, r, Note{Step: StepWaiting, Until: r.PathWaitUntil, Text: pathText(err)})
 }
 
 func pathText(err error) string {
@@ -189,7 +189,7 @@
 		m.complete(now, r)
 	case now >= r.Deadline:
 		m.endRefused(now, r, request.ReasonDeadline, 0)
-	case !r.MayRepeat():
+	case !r.MayRetry():
 		m.endRefused(now, r, request.ReasonNotRepeatable, 0)
 	case e.Outcome == request.Moved:
 		// Nothing failed, so the retry budget is not charged.
@@ -204,8 +204,8 @@
 // health of its server and the pool's load.
 func (m *Machine) recordOutcome(now Time, r *request.Request, e AttemptEnded) {
 	progress := e.Tokens - r.Tokens
-	suspect := r.Record(e.Outcome, e.Server, e.Tokens)
-	r.Suspect(e.Suspects)
+	suspect := r.RecordOutcome(e.Outcome, e.Server, e.Tokens)
+	r.AvoidServers(e.Suspects)
 	m.endIsolation(r)
 	m.router.Release(string(r.ID))
 	if e.Outcome == request.Completed {
@@ -236,7 +236,7 @@
 
 func (m *Machine) complete(now Time, r *request.Request) {
 	r.Execution = request.Ran
-	m.lifecycle.poison.Acquit(bodyOf(r))
+	m.lifecycle.poison.ClearSuspicion(bodyOf(r))
 	m.note(now, r, Note{Step: StepCompleted, Servers: serverNames(r.Path), Execution: request.Ran})
 	m.finish(now, r, true)
 }
@@ -260,7 +260,7 @@
 	case wait == 0:
 		m.resume(now, r)
 	default:
-		r.Move(request.Resuming)
+		r.Transition(request.Resuming)
 		until := min(now+wait, r.Deadline)
 		m.waitUntil(r, until)
 		m.note(now, r, Note{Step: StepWaiting, Until: until, Text: "too many attempts failed to go on at once"})
@@ -273,7 +273,7 @@
 }
 
 // callerDisconnected cancels a request. If it was dispatched it may have run.
-func (m *Machine) callerDisconnected(now Time, e CallerGone) []Action {
+func (m *Machine) callerDisconnected(now Time, e CallerDisconnected) []Action {
 	r, ok := m.requests[e.Request]
 	if !ok {
 		m.dropPeek(now, e.Request)
--- a/internal/core/requests_poison.go
+++ b/internal/core/requests_poison.go
@@ -36,14 +36,14 @@
 			loss.Incarnation = stage.Incarnation
 		}
 	}
-	if m.lifecycle.poison.Lost(now, loss) {
-		m.emit(SpreadSuspicion{Finding: PoisonFinding{
+	if m.lifecycle.poison.RecordLoss(now, loss) {
+		m.emit(PublishSuspicion{Finding: PoisonFinding{
 			Account:     loss.Body.Account,
 			Pipeline:    loss.Body.Pipeline,
 			BodyHash:    loss.Body.Hash,
 			Server:      server,
 			Incarnation: loss.Incarnation,
-			Crashes:     m.lifecycle.poison.Crashes(now, loss.Body),
+			Crashes:     m.lifecycle.poison.CrashCount(now, loss.Body),
 			Suspected:   true,
 		}})
 	}
@@ -53,12 +53,12 @@
 // the server crashed and how loaded it is.
 func (m *Machine) requestsServerObserved(now Time, e ServerObserved) []Action {
 	if e.Witness == m.options.VM {
-		m.lifecycle.poison.Seen(now, e.Age, e.Server, e.Incarnation)
+		m.lifecycle.poison.RecordProbedIncarnation(now, e.Age, e.Server, e.Incarnation)
 	} else {
-		m.lifecycle.poison.Told(e.Server, e.Incarnation)
+		m.lifecycle.poison.RecordPeerIncarnation(e.Server, e.Incarnation)
 	}
 	if spec, ok := m.config.Backend(e.Server); ok && !e.LoadUnknown {
-		m.lifecycle.admission.Report(now, poolOf(spec), e.Server, e.Running, e.Waiting)
+		m.lifecycle.admission.ReportLoad(now, poolOf(spec), e.Server, e.Running, e.Waiting)
 	}
 	m.resumeProven(now)
 	return m.finishStep(now)
@@ -66,9 +66,9 @@
 
 // requestsProbeFailed handles a failed probe. Only a refused connection proves
 // that the process has ended.
-func (m *Machine) requestsProbeFailed(now Time, e ServerSilent) []Action {
+func (m *Machine) requestsProbeFailed(now Time, e ServerProbeFailed) []Action {
 	if e.Refused && e.Witness == m.options.VM {
-		m.lifecycle.poison.Refused(now, e.Server)
+		m.lifecycle.poison.ConnectionRefused(now, e.Server)
 	}
 	return m.finishStep(now)
 }
@@ -76,28 +76,28 @@
 // evaluateCrashes evaluates the crashes and verdicts that are due, publishes the
 // changed findings and refuses the condemned requests.
 func (m *Machine) evaluateCrashes(now Time) {
-	for _, finding := range m.lifecycle.poison.Judge(now) {
-		m.emit(PoisonVerdict{Finding: PoisonFinding{
+	for _, finding := range m.lifecycle.poison.Evaluate(now) {
+		m.emit(PublishPoisonFinding{Finding: PoisonFinding{
 			Account:     finding.Account,
 			Pipeline:    finding.Pipeline,
 			BodyHash:    finding.Hash,
 			Server:      finding.Server,
 			Incarnation: finding.Incarnation,
 			Crashes:     finding.Crashes,
-			Condemned:   finding.Condemned,
+			Condemned:   finding.Blocked,
 		}})
-		if finding.Condemned {
+		if finding.Blocked {
 			m.refuseCondemned(now, finding.Body)
 		}
 	}
 	m.resumeProven(now)
 }
 
-func (m *Machine) poisonFindingReceived(now Time, e PoisonLearned) []Action {
+func (m *Machine) poisonFindingReceived(now Time, e PoisonFindingReceived) []Action {
 	f := e.Finding
 	body := poison.Body{Account: f.Account, Pipeline: f.Pipeline, Hash: f.BodyHash}
-	newly := m.lifecycle.poison.Learn(now, poison.Finding{
-		Body: body, Crashes: f.Crashes, Condemned: f.Condemned, Suspected: f.Suspected,
+	newly := m.lifecycle.poison.MergeFinding(now, poison.Finding{
+		Body: body, Crashes: f.Crashes, Blocked: f.Condemned, Unproven: f.Suspected,
 		Server: f.Server, Incarnation: f.Incarnation, At: now - f.Age,
 	})
 	if newly {
@@ -121,7 +121,7 @@
 // resumeProven resumes the requests whose proof or verdict is no longer pending.
 func (m *Machine) resumeProven(now Time) {
 	for _, body := range slices.SortedFunc(maps.Keys(m.lifecycle.parked), poison.CompareBodies) {
-		if m.lifecycle.running[body] == 0 && !m.lifecycle.poison.Waiting(body) {
+		if m.lifecycle.running[body] == 0 && !m.lifecycle.poison.DecisionPending(body) {
 			m.lifecycle.releasedBodies = append(m.lifecycle.releasedBodies, body)
 		}
 	}
@@ -135,11 +135,11 @@
 		if !ok || r.State != request.Resuming {
 			continue
 		}
-		if m.lifecycle.poison.Waiting(bodyOf(r)) {
+		if m.lifecycle.poison.DecisionPending(bodyOf(r)) {
 			m.lifecycle.awaitingProof = append(m.lifecycle.awaitingProof, id)
 			continue
 		}
-		r.Wake = 0
+		r.WaitUntil = 0
 		m.resume(now, r)
 	}
 }
@@ -147,7 +147,7 @@
 // resume starts the next attempt of a request whose wait ended, if its body may
 // still run.
 func (m *Machine) resume(now Time, r *request.Request) {
-	if m.lifecycle.poison.Level(now, bodyOf(r)) == poison.Condemned {
+	if m.lifecycle.poison.Level(now, bodyOf(r)) == poison.Blocked {
 		m.endRefusedAs(now, r, request.ReasonPoison, request.Ran, 0)
 		return
 	}
@@ -160,7 +160,7 @@
 		m.endRefused(now, r, request.ReasonAttempts, proofTimeout)
 		return
 	}
-	if due, ok := m.lifecycle.poison.VerdictDue(bodyOf(r)); ok && now < due {
+	if due, ok := m.lifecycle.poison.BlockDue(bodyOf(r)); ok && now < due {
 		// The proof came late. The verdict is due soon, and an attempt before it
 		// might crash one more server.
 		m.awaitProof(now, r, min(due, r.Deadline))
@@ -172,13 +172,13 @@
 // crashes returns how many servers the request itself, or all requests with its
 // body, may have crashed, whichever is more.
 func (m *Machine) crashes(now Time, r *request.Request) int {
-	return max(r.Losses, m.lifecycle.poison.Crashes(now, bodyOf(r)))
+	return max(r.SuspectedCrashes, m.lifecycle.poison.CrashCount(now, bodyOf(r)))
 }
 
 // isCrashSuspect reports whether a request is suspected strongly enough that its
 // next attempt must run isolated and may have to wait for proof.
 func (m *Machine) isCrashSuspect(now Time, r *request.Request) bool {
-	return r.Losses > 0 && m.crashes(now, r) >= crashesNeedingProof
+	return r.SuspectedCrashes > 0 && m.crashes(now, r) >= crashesNeedingProof
 }
 
 // needsProof reports whether a request has to wait for proof before its next
@@ -187,10 +187,10 @@
 // lost its servers to two unrelated failures. Its next attempt still runs
 // isolated, and a third loss ends it.
 func (m *Machine) needsProof(now Time, r *request.Request) bool {
-	if !m.isCrashSuspect(now, r) || !m.lifecycle.poison.Waiting(bodyOf(r)) {
+	if !m.isCrashSuspect(now, r) || !m.lifecycle.poison.DecisionPending(bodyOf(r)) {
 		return false
 	}
-	return r.Progress < poison.ProgressTokens || m.crashes(now, r) > crashesNeedingProof
+	return r.LastProgress < poison.MinProgressTokens || m.crashes(now, r) > crashesNeedingProof
 }
 
 // awaitProof makes a request wait until the given time for proof of a crash by its
@@ -199,8 +199,8 @@
 	if !slices.Contains(m.lifecycle.awaitingProof, r.ID) {
 		m.lifecycle.awaitingProof = append(m.lifecycle.awaitingProof, r.ID)
 	}
-	r.Awaited = r.Attempt + 1
-	r.Move(request.Resuming)
+	r.ProofWaitAttempt = r.Attempt + 1
+	r.Transition(request.Resuming)
 	m.waitUntil(r, until)
 	m.note(now, r, Note{Step: StepWaiting, Until: until, Text: "two servers were lost with it; proof is awaited whether it crashes them"})
 }
--- a/internal/core/requests_time.go
+++ b/internal/core/requests_time.go
@@ -57,19 +57,19 @@
 		return
 	}
 	m.lifecycle.nextUsageAt = now + usageInterval
-	usage := AccountUsageHere{Accounts: make([]AccountRate, 0, len(rates))}
+	usage := LocalAccountUsage{Accounts: make([]AccountRate, 0, len(rates))}
 	for _, r := range rates {
 		usage.Accounts = append(usage.Accounts, AccountRate(r))
 	}
 	m.emit(usage)
 }
 
-func (m *Machine) remoteAccountUsage(now Time, e AccountUsage) []Action {
+func (m *Machine) remoteAccountUsage(now Time, e RemoteAccountUsage) []Action {
 	elsewhere := make(map[string]float64, len(e.Elsewhere))
 	for _, r := range e.Elsewhere {
 		elsewhere[r.Account] = r.PerSecond
 	}
-	m.lifecycle.admission.SetUsage(now, e.LiveVMs, elsewhere)
+	m.lifecycle.admission.SetRemoteRates(now, e.LiveVMs, elsewhere)
 	return nil
 }
 
--- a/internal/core/route/draw.go
+++ b/internal/core/route/draw.go
@@ -102,11 +102,11 @@
 	if d.request.Priority > 0 {
 		return true
 	}
-	if !found || d.request.Deadline == 0 || d.request.Tokens == 0 {
+	if !found || d.request.Deadline == 0 || d.request.RemainingTokens == 0 {
 		return false
 	}
 	remaining := (d.request.Deadline - d.request.Now).Seconds()
-	return best.score*float64(d.request.Tokens) > remaining
+	return best.score*float64(d.request.RemainingTokens) > remaining
 }
 
 // walk samples one path into c by a random walk over the graph. At each node it
--- a/internal/core/route/graph.go
+++ b/internal/core/route/graph.go
@@ -243,7 +243,7 @@
 		for to, toName := range g.dataCentres {
 			link := links[linkKey{fromName, toName}]
 			g.delays[from][to] = link.Delay.Seconds()
-			g.linkUp[from][to] = from == to || !link.Lost
+			g.linkUp[from][to] = from == to || !link.Down
 		}
 	}
 }
--- a/internal/core/route/observe.go
+++ b/internal/core/route/observe.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// Observe applies a server's load report.
-func (r *Router) Observe(now time.Duration, report Report) {
+// ObserveLoad applies a server's load report.
+func (r *Router) ObserveLoad(now time.Duration, report Report) {
 	r.Advance(now)
 	if s, ok := r.servers[report.Server]; ok {
 		s.applyReport(now, report)
@@ -159,11 +159,11 @@
 	}
 }
 
-// Progress records how many tokens of a request's answer have been delivered, over
+// RecordProgress records how many tokens of a request's answer have been delivered, over
 // all its attempts. The token rate since the last call updates the estimated
 // capacities of the path's servers. Call it at the end of an attempt, before
 // Release, and from time to time during a long one.
-func (r *Router) Progress(id string, now time.Duration, delivered int) {
+func (r *Router) RecordProgress(id string, now time.Duration, delivered int) {
 	r.Advance(now)
 	a, ok := r.assignments[id]
 	tokens := delivered - a.delivered
--- a/internal/core/route/queueing_test.go
+++ b/internal/core/route/queueing_test.go
@@ -217,7 +217,7 @@
 		}
 		for _, router := range q.routers {
 			lag := time.Duration(q.random.Int64N(int64(2 * q.workload.lag)))
-			q.at(lag, func() { router.Observe(q.now, report) })
+			q.at(lag, func() { router.ObserveLoad(q.now, report) })
 		}
 	}
 	q.at(reportSpacing, q.report)
@@ -300,7 +300,7 @@
 		e.streams--
 	}
 	q.inFlight--
-	q.routers[s.vm].Progress(s.id, q.now, s.tokens)
+	q.routers[s.vm].RecordProgress(s.id, q.now, s.tokens)
 	q.routers[s.vm].Release(s.id)
 	return true
 }
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -212,7 +212,7 @@
 
 func (r *Router) assign(request Request, steps []step) Path {
 	r.Release(request.ID)
-	a := assignment{servers: make([]*server, 0, len(steps)), sampleStart: r.now, delivered: request.Delivered}
+	a := assignment{servers: make([]*server, 0, len(steps)), sampleStart: r.now, delivered: request.DeliveredTokens}
 	previous := steps[len(steps)-1].server
 	for _, s := range steps {
 		a.linkDelay += r.links[linkKey{previous.DataCentre, s.server.DataCentre}].Delay.Seconds()
--- a/internal/core/route/router_test.go
+++ b/internal/core/route/router_test.go
@@ -154,7 +154,7 @@
 	}
 	router := newRouter(servers...)
 	for i := range 10 {
-		router.Observe(time.Second, route.Report{Server: fmt.Sprint("s", i), At: time.Second, Running: min(i, 1) * 8})
+		router.ObserveLoad(time.Second, route.Report{Server: fmt.Sprint("s", i), At: time.Second, Running: min(i, 1) * 8})
 	}
 	for i := range 300 {
 		r := newRequest(fmt.Sprint(i))
@@ -210,7 +210,7 @@
 	far := engineServer("far", 12, 24)
 	far.DataCentre = "gaziemir"
 	router := newRouter(engineServer("near", 0, 12), far, engineServer("whole", 0, 24))
-	router.SetLink(route.Link{From: "bornova", To: "gaziemir", Lost: true})
+	router.SetLink(route.Link{From: "bornova", To: "gaziemir", Down: true})
 	g.Expect(router.Bound("scorer", "1", layers).TokensPerSecond).To(BeNumerically("~", 100, 1e-6))
 	for i := range 50 {
 		g.Expect(serverNames(choose(t, router, newRequest(fmt.Sprint(i))))).To(Equal([]string{"whole"}))
@@ -278,7 +278,7 @@
 	routerAfter := func(events ...route.CacheEvent) *route.Router {
 		router := newRouter(servers...)
 		for i := range servers {
-			router.Observe(0, route.Report{Server: fmt.Sprint("s", i), At: 1, Running: 8})
+			router.ObserveLoad(0, route.Report{Server: fmt.Sprint("s", i), At: 1, Running: 8})
 		}
 		router.ObserveCache("s3", 1, events)
 		return router
@@ -310,7 +310,7 @@
 				path, _ = router.Reroute(r, path, []string{lost})
 			}
 			if i%2 == 0 {
-				router.Progress(r.ID, r.Now+time.Second, 50)
+				router.RecordProgress(r.ID, r.Now+time.Second, 50)
 				router.Release(r.ID)
 			}
 			paths = append(paths, slices.Clone(path))
@@ -349,7 +349,7 @@
 	}
 	router := newRouter(servers...)
 	for i := range 10 {
-		router.Observe(time.Second, route.Report{Server: fmt.Sprintf("s%02d", i), At: time.Second, Running: 8, Waiting: 40})
+		router.ObserveLoad(time.Second, route.Report{Server: fmt.Sprintf("s%02d", i), At: time.Second, Running: 8, Waiting: 40})
 	}
 	hitFull := func(priority int) int {
 		hits := 0
--- a/internal/core/route/types.go
+++ b/internal/core/route/types.go
@@ -70,8 +70,8 @@
 	TokensPerSecond float64
 	// Delay is the time that one token's activations take to cross.
 	Delay time.Duration
-	// Lost is true if the link is down.
-	Lost bool
+	// Down is true if the link is down.
+	Down bool
 }
 
 // Stage is the part of a path that one backend server runs.
@@ -127,10 +127,10 @@
 	Priority int
 	// Deadline is when the answer must be complete, on the VM's clock, and Tokens
 	// is the number of tokens still to be generated. 0 if unknown.
-	Deadline time.Duration
-	Tokens   int
-	// Delivered is the number of tokens that the caller has received already.
-	Delivered int
+	Deadline        time.Duration
+	RemainingTokens int
+	// DeliveredTokens is the number of tokens that the caller has received already.
+	DeliveredTokens int
 }
 
 // ErrNoPath means that no path exists for a request. NoPathError gives the
--- a/internal/core/routes/engine.go
+++ b/internal/core/routes/engine.go
@@ -19,8 +19,8 @@
 	ReadPerSecond float64
 	// TokenBytes is the memory of one token of a request over all layers, in bytes.
 	TokenBytes float64
-	// Prompt and Answer are the typical lengths in tokens.
-	Prompt, Answer int
+	// TypicalPrompt and TypicalAnswer are the typical lengths in tokens.
+	TypicalPrompt, TypicalAnswer int
 	// LoadTime is the time to load all layers.
 	LoadTime time.Duration
 	// LoadsAtOnce is the number of concurrent loads that run at full speed. Beyond it, each takes
@@ -45,8 +45,8 @@
 	return known
 }
 
-// Fits returns the maximum number of layers that a card can hold.
-func (e *Engine) Fits(card Card) int {
+// MaxLayers returns the maximum number of layers that a card can hold.
+func (e *Engine) MaxLayers(card Card) int {
 	if e.LayerMB <= 0 {
 		return 0
 	}
@@ -55,9 +55,9 @@
 
 const bytesPerMB = 1e6
 
-// Room returns the memory for requests beside a number of layers, in tokens times layers: a request
+// RequestCapacity returns the memory for requests beside a number of layers, in tokens times layers: a request
 // uses its tokens for each layer that it runs on a server.
-func (e *Engine) Room(card Card, layers int) float64 {
+func (e *Engine) RequestCapacity(card Card, layers int) float64 {
 	if layers == 0 || e.TokenBytes <= 0 {
 		return 0
 	}
@@ -65,26 +65,26 @@
 	return max(free, 0) / (e.TokenBytes / float64(e.Layers))
 }
 
-// RoomAt returns the number of request tokens that servers have memory for beside each of their
+// CapacityAtFill returns the number of request tokens that servers have memory for beside each of their
 // layers if the layers use the fraction fill of their memory.
-func (e *Engine) RoomAt(fill float64) float64 {
+func (e *Engine) CapacityAtFill(fill float64) float64 {
 	if fill <= 0 || e.TokenBytes <= 0 {
 		return 0
 	}
 	return max(1-fill, 0) / fill * e.LayerMB * bytesPerMB / (e.TokenBytes / float64(e.Layers))
 }
 
-// LoadFor returns the time to load a number of layers.
-func (e *Engine) LoadFor(layers int) time.Duration {
+// LoadTimeFor returns the time to load a number of layers.
+func (e *Engine) LoadTimeFor(layers int) time.Duration {
 	return e.LoadTime * time.Duration(layers) / time.Duration(max(e.Layers, 1))
 }
 
-// StepFor returns the time of one token through all layers at pace 1 in a batch of so many typical
+// StepTime returns the time of one token through all layers at pace 1 in a batch of so many typical
 // requests.
-func (e *Engine) StepFor(requests float64) time.Duration {
-	each := float64(e.PerSequence) + float64(e.PerContext)*e.Usual()/1000
+func (e *Engine) StepTime(requests float64) time.Duration {
+	each := float64(e.PerSequence) + float64(e.PerContext)*e.TypicalTokens()/1000
 	return e.Step + time.Duration(each*requests)
 }
 
-// Usual returns the typical length of a request, prompt and answer, in tokens.
-func (e *Engine) Usual() float64 { return float64(max(e.Prompt+e.Answer, 1)) }
+// TypicalTokens returns the typical length of a request, prompt and answer, in tokens.
+func (e *Engine) TypicalTokens() float64 { return float64(max(e.TypicalPrompt+e.TypicalAnswer, 1)) }
--- a/internal/core/routes/routes.go
+++ b/internal/core/routes/routes.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// Repeat says whether a request may run more than once.
-type Repeat int
+// RepeatPolicy says whether a request may run more than once.
+type RepeatPolicy int
 
-// Values of Repeat.
+// Values of RepeatPolicy.
 const (
-	// Once: at most one backend server may run it, once.
-	Once Repeat = iota
-	// Freely: it may run any number of times.
-	Freely
+	// AtMostOnce: at most one backend server may run it, once.
+	AtMostOnce RepeatPolicy = iota
+	// Repeatable: it may run any number of times.
+	Repeatable
 	// Resumable: it is answered by a stream of numbered events, and may run again from the last
 	// event that was delivered.
 	Resumable
@@ -31,21 +31,21 @@
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	Repeat Repeat
+	Repeat RepeatPolicy
 	// Stream is set if the answer is a stream of events.
 	Stream bool
 	// Timeout is the maximum time until the end of the answer. 0 means unlimited.
 	Timeout time.Duration
-	// Target is the target time to the first byte of the answer.
-	Target time.Duration
-	// Gap is the target for the longest time between two events. 0 means none.
-	Gap time.Duration
+	// TargetLatency is the target time to the first byte of the answer.
+	TargetLatency time.Duration
+	// TargetGap is the target for the longest time between two events. 0 means none.
+	TargetGap time.Duration
 	// Priority is the urgency of requests; 0 is the most urgent.
 	Priority int
-	// Attempts is the maximum number of backend servers that may run one request.
-	Attempts int
-	// Open is set if no key is required.
-	Open bool
+	// MaxAttempts is the maximum number of backend servers that may run one request.
+	MaxAttempts int
+	// KeyExempt is set if no key is required.
+	KeyExempt bool
 	// Shares are the weighted services.
 	Shares []Share
 }
@@ -66,9 +66,9 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority overrides the route's if Ranked is set.
-	Priority int
-	Ranked   bool
+	// Priority overrides the route's if HasPriority is set.
+	Priority    int
+	HasPriority bool
 }
 
 // Limits are limits for client requests. 0 means unlimited.
@@ -121,7 +121,7 @@
 }
 
 // NeedsKey reports whether requests of a route must carry a key.
-func (t *Table) NeedsKey(route Route) bool { return t.keysRequired && !route.Open }
+func (t *Table) NeedsKey(route Route) bool { return t.keysRequired && !route.KeyExempt }
 
 // Account returns the account of a key.
 func (t *Table) Account(key string) (Account, bool) {
@@ -138,8 +138,8 @@
 // ServiceNames returns the names of the services in order.
 func (t *Table) ServiceNames() []string { return slices.Sorted(maps.Keys(t.services)) }
 
-// Engines returns the services that run layers of a model, ordered by name.
-func (t *Table) Engines() []Service {
+// ModelServices returns the services that run layers of a model, ordered by name.
+func (t *Table) ModelServices() []Service {
 	var engines []Service
 	for _, service := range t.services {
 		if service.Engine != nil {
--- a/internal/core/routing.go
+++ b/internal/core/routing.go
@@ -51,9 +51,9 @@
 	case CacheObserved:
 		m.router.ObserveCache(e.Server, e.Incarnation, e.Events)
 	case LinkObserved:
-		m.router.SetLink(route.Link{From: e.From, To: e.To, Delay: e.Delay, TokensPerSecond: e.TokensPerSecond, Lost: e.Lost})
+		m.router.SetLink(route.Link{From: e.From, To: e.To, Delay: e.Delay, TokensPerSecond: e.TokensPerSecond, Down: e.Lost})
 	case AttemptEnded:
-		m.router.Progress(string(e.Request), now, e.Tokens)
+		m.router.RecordProgress(string(e.Request), now, e.Tokens)
 	}
 	if now-m.routing.boundsCheckedAt < boundCheckInterval {
 		return nil
@@ -64,7 +64,7 @@
 
 func (m *Machine) routingServerObserved(now Time, e ServerObserved) {
 	if !e.LoadUnknown {
-		m.router.Observe(now, route.Report{Server: e.Server, At: now - e.Age, Running: e.Running, Waiting: e.Waiting})
+		m.router.ObserveLoad(now, route.Report{Server: e.Server, At: now - e.Age, Running: e.Running, Waiting: e.Waiting})
 	}
 	held := holding{e.Model, e.Version, e.Layers}
 	if e.Model == "" || m.routing.holdings[e.Server] == held {
--- a/internal/core/scripts_test.go
+++ b/internal/core/scripts_test.go
@@ -218,12 +218,12 @@
 		return fmt.Sprintf("peek %s %s/%s body=%d", a.Request, a.Key.Account, a.Key.Key, a.BodyHash)
 	case core.ClaimSettled:
 		return fmt.Sprintf("claim_settled %s %s/%s %s", a.Request, a.Key.Account, a.Key.Key, a.Execution)
-	case core.PoisonVerdict:
+	case core.PublishPoisonFinding:
 		f := a.Finding
 		return fmt.Sprintf("poison_verdict %s/%s body=%d crashes=%d condemned=%v", f.Account, f.Pipeline, f.BodyHash, f.Crashes, f.Condemned)
 	case core.ConfirmSuspicion:
 		return fmt.Sprintf("confirm_suspicion %s", a.Request)
-	case core.AccountUsageHere:
+	case core.LocalAccountUsage:
 		return fmt.Sprintf("account_usage_here %v", a.Accounts)
 	case core.Note:
 		if s.notes {
--- a/internal/core/spread/capacity.go
+++ b/internal/core/spread/capacity.go
@@ -8,7 +8,7 @@
 	if held.Len() == 0 {
 		return 0
 	}
-	return p.engine.Room(s.Card, held.Len()) / float64(held.Len()) / max(s.Card.Pace, 0.1) / max(s.Pace, 1)
+	return p.engine.RequestCapacity(s.Card, held.Len()) / float64(held.Len()) / max(s.Card.Pace, 0.1) / max(s.Slowdown, 1)
 }
 
 // layerState is the total capacity and the number of copies of a layer.
@@ -41,7 +41,7 @@
 	if s.Slots == 0 {
 		return capacity
 	}
-	return min(capacity, float64(s.Slots)*p.engine.Usual()/max(s.Card.Pace, 0.1)/max(s.Pace, 1))
+	return min(capacity, float64(s.Slots)*p.engine.TypicalTokens()/max(s.Card.Pace, 0.1)/max(s.Slowdown, 1))
 }
 
 // weakestWindow returns the range of the given length with the highest deficit among those that
--- a/internal/core/spread/loads_test.go
+++ b/internal/core/spread/loads_test.go
@@ -28,15 +28,15 @@
 // tick makes each data centre plan once and advances the running loads.
 func (s *loadSimulation) tick() {
 	for at, servers := range s.dataCentres {
-		var loads spread.Loads
+		var loads spread.LoadLimit
 		if s.limited {
 			loads = s.loads(at)
 		}
 		for _, order := range loads.Admit(s.engine, servers, spread.Plan(s.engine, servers)) {
 			i := slices.IndexFunc(servers, func(server spread.Server) bool { return server.ID == order.Server })
-			kept := servers[i].Holds.Overlap(order.Layers)
-			s.remaining[order.Server] = s.engine.LoadFor(order.Layers.Len() - kept.Len())
-			servers[i].Loading, servers[i].Ordered, servers[i].Holds = true, order.Layers, kept
+			kept := servers[i].Held.Overlap(order.Layers)
+			s.remaining[order.Server] = s.engine.LoadTimeFor(order.Layers.Len() - kept.Len())
+			servers[i].Loading, servers[i].Target, servers[i].Held = true, order.Layers, kept
 		}
 	}
 	s.advance()
@@ -53,13 +53,13 @@
 			}
 			if s.remaining[servers[i].ID] = remaining - step; remaining <= step {
 				delete(s.remaining, servers[i].ID)
-				servers[i].Loading, servers[i].Holds = false, servers[i].Ordered
+				servers[i].Loading, servers[i].Held = false, servers[i].Target
 			}
 		}
 	}
 }
 
-func (s *loadSimulation) loads(at int) spread.Loads {
+func (s *loadSimulation) loads(at int) spread.LoadLimit {
 	empty := 0
 	var elsewhere []spread.Server
 	for other, servers := range s.dataCentres {
@@ -68,12 +68,12 @@
 		}
 		for _, server := range servers {
 			elsewhere = append(elsewhere, server)
-			if server.Holds.Len() == 0 {
+			if server.Held.Len() == 0 {
 				empty++
 			}
 		}
 	}
-	return spread.Loads{AtOnce: spread.Share(s.atOnce, len(s.dataCentres), empty), Elsewhere: spread.Copies(s.engine, elsewhere), Turn: at}
+	return spread.LoadLimit{MaxConcurrent: spread.LocalLoadLimit(s.atOnce, len(s.dataCentres), empty), RemoteCopies: spread.Copies(s.engine, elsewhere), Offset: at}
 }
 
 // run simulates the given time. covered is the time after which the data centres together can
@@ -108,7 +108,7 @@
 	card := routes.Card{MB: 32_000, Pace: 4, Read: 3}
 	s := &loadSimulation{
 		engine: &routes.Engine{
-			Layers: 80, LayerMB: 1000, TokenBytes: 918_000, Prompt: 775, Answer: 217, LoadTime: 14 * time.Second,
+			Layers: 80, LayerMB: 1000, TokenBytes: 918_000, TypicalPrompt: 775, TypicalAnswer: 217, LoadTime: 14 * time.Second,
 			Cards: map[string]routes.Card{"c": card},
 		},
 		remaining: make(map[string]time.Duration), atOnce: 3, limited: limited,
@@ -138,10 +138,10 @@
 
 func TestShareDividesLoadLimitAmongDataCentres(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(spread.Share(0, 5, 9)).To(Equal(0), "no limit")
-	g.Expect(spread.Share(3, 5, 20)).To(Equal(1), "each data centre may run one load")
-	g.Expect(spread.Share(31, 5, 0)).To(Equal(31), "the other data centres load nothing")
-	g.Expect(spread.Share(31, 5, 30)).To(Equal(7))
+	g.Expect(spread.LocalLoadLimit(0, 5, 9)).To(Equal(0), "no limit")
+	g.Expect(spread.LocalLoadLimit(3, 5, 20)).To(Equal(1), "each data centre may run one load")
+	g.Expect(spread.LocalLoadLimit(31, 5, 0)).To(Equal(31), "the other data centres load nothing")
+	g.Expect(spread.LocalLoadLimit(31, 5, 30)).To(Equal(7))
 }
 
 // smallEngine returns a model of four layers. A server of its card takes two when it leaves memory
@@ -152,20 +152,20 @@
 
 func TestAdmitPrefersLayersThatNobodyHolds(t *testing.T) {
 	g := NewWithT(t)
-	servers := []spread.Server{{ID: "s1"}, {ID: "s2"}, {ID: "s3"}, {ID: "s4", Holds: api.Layers{From: 0, To: 1}}}
+	servers := []spread.Server{{ID: "s1"}, {ID: "s2"}, {ID: "s3"}, {ID: "s4", Held: api.Layers{From: 0, To: 1}}}
 	extra := spread.Order{Server: "s1", Layers: api.Layers{From: 0, To: 1}}
 	missingHere := spread.Order{Server: "s2", Layers: api.Layers{From: 1, To: 2}}
 	missingEverywhere := spread.Order{Server: "s3", Layers: api.Layers{From: 2, To: 4}}
 	noLoad := spread.Order{Server: "s4", Layers: api.Layers{From: 0, To: 1}}
 	orders := []spread.Order{extra, missingHere, missingEverywhere, noLoad}
-	loads := spread.Loads{AtOnce: 1, Elsewhere: []int{1, 1, 0, 0}}
+	loads := spread.LoadLimit{MaxConcurrent: 1, RemoteCopies: []int{1, 1, 0, 0}}
 	g.Expect(loads.Admit(smallEngine(), servers, orders)).To(Equal([]spread.Order{noLoad, missingEverywhere}), "an order that loads nothing is always admitted")
-	loads.AtOnce = 2
+	loads.MaxConcurrent = 2
 	g.Expect(loads.Admit(smallEngine(), servers, orders)).To(Equal([]spread.Order{noLoad, missingEverywhere, missingHere}))
-	g.Expect(spread.Loads{}.Admit(smallEngine(), servers, orders)).To(Equal(orders))
-	servers[0].Loading, servers[0].Ordered = true, api.Layers{From: 0, To: 1}
+	g.Expect(spread.LoadLimit{}.Admit(smallEngine(), servers, orders)).To(Equal(orders))
+	servers[0].Loading, servers[0].Target = true, api.Layers{From: 0, To: 1}
 	g.Expect(loads.Admit(smallEngine(), servers, orders[1:])).To(Equal([]spread.Order{noLoad, missingEverywhere}), "one load is running")
-	servers[0].Wait = -time.Second
+	servers[0].LoadRemaining = -time.Second
 	g.Expect(loads.Admit(smallEngine(), servers, orders[1:])).To(Equal([]spread.Order{noLoad, missingEverywhere, missingHere}), "the running load is long overdue")
 }
 
@@ -174,7 +174,7 @@
 	servers := []spread.Server{{ID: "s1"}, {ID: "s2"}}
 	orders := []spread.Order{{Server: "s1", Layers: api.Layers{From: 0, To: 2}}, {Server: "s2", Layers: api.Layers{From: 2, To: 4}}}
 	for turn, server := range []string{"s1", "s2", "s1"} {
-		loads := spread.Loads{AtOnce: 1, Elsewhere: make([]int, 4), Turn: turn}
+		loads := spread.LoadLimit{MaxConcurrent: 1, RemoteCopies: make([]int, 4), Offset: turn}
 		admitted := loads.Admit(smallEngine(), servers, orders)
 		g.Expect(admitted).To(HaveLen(1))
 		g.Expect(admitted[0].Server).To(Equal(server))
--- a/internal/core/spread/migration.go
+++ b/internal/core/spread/migration.go
@@ -22,15 +22,15 @@
 		at := slices.IndexFunc(servers, func(s Server) bool { return s.ID == target.Server })
 		s := servers[at]
 		loading = loading || s.Loading
-		if s.Lost || s.Loading || s.Holds == target.Layers {
+		if s.Lost || s.Loading || s.Held == target.Layers {
 			continue
 		}
 		to, ok := nextRange(engine, counts, s, target.Layers)
-		if !ok || to == s.Holds {
+		if !ok || to == s.Held {
 			stuck = append(stuck, target)
 			continue
 		}
-		removeDropped(counts, s.Holds, to)
+		removeDropped(counts, s.Held, to)
 		safe = append(safe, Order{Server: s.ID, Layers: to})
 	}
 	if len(safe) == 0 && !loading && !covered {
@@ -50,19 +50,19 @@
 
 // nextRange returns the range that a server may change to next on the way to its target.
 func nextRange(engine *routes.Engine, counts []int, s Server, target api.Layers) (api.Layers, bool) {
-	if s.Holds.Len() == 0 {
+	if s.Held.Len() == 0 {
 		return target, true
 	}
-	if droppable(counts, s.Holds, target) {
+	if droppable(counts, s.Held, target) {
 		return target, true
 	}
-	hull := api.Layers{From: min(s.Holds.From, target.From), To: max(s.Holds.To, target.To)}
-	touching := s.Holds.From <= target.To && target.From <= s.Holds.To
+	hull := api.Layers{From: min(s.Held.From, target.From), To: max(s.Held.To, target.To)}
+	touching := s.Held.From <= target.To && target.From <= s.Held.To
 	limit := fillTransition
 	if slices.Contains(counts[hull.From:hull.To], 0) {
 		limit = fillUncovered
 	}
-	if touching && hull.Len() <= int(limit*float64(engine.Fits(s.Card))) {
+	if touching && hull.Len() <= int(limit*float64(engine.MaxLayers(s.Card))) {
 		return hull, true
 	}
 	return api.Layers{}, false
--- a/internal/core/spread/plan.go
+++ b/internal/core/spread/plan.go
@@ -94,7 +94,7 @@
 func (p *planner) copyCounts(within time.Duration) []int {
 	counts := make([]int, p.engine.Layers)
 	for _, s := range p.servers {
-		if s.Lost || s.Loading && s.Wait > within {
+		if s.Lost || s.Loading && s.LoadRemaining > within {
 			continue
 		}
 		addCopies(counts, s.planned())
@@ -106,8 +106,8 @@
 func (p *planner) assign(at int, layers api.Layers) {
 	p.orders = append(p.orders, Order{Server: p.servers[at].ID, Layers: layers})
 	s := &p.servers[at]
-	s.Wait = p.engine.LoadFor(layersToLoad(s.Holds, layers))
-	s.Ordered, s.Loading = layers, true
+	s.LoadRemaining = p.engine.LoadTimeFor(layersToLoad(s.Held, layers))
+	s.Target, s.Loading = layers, true
 }
 
 // coverMissing assigns the layers that nobody holds to servers that are available.
@@ -133,7 +133,7 @@
 
 // targetLayers returns how many layers a card should hold to leave enough memory for requests.
 func (p *planner) targetLayers(card routes.Card) int {
-	return max(int(fillExtra*float64(p.engine.Fits(card))), 1)
+	return max(int(fillExtra*float64(p.engine.MaxLayers(card))), 1)
 }
 
 // findSpare returns the index of the best server to cover a gap: an empty one, preferring fast
@@ -143,7 +143,7 @@
 	layers, counts := p.layerStates(), p.copyCounts(shortLoad)
 	for i, s := range p.servers {
 		cost, ok := p.removalCost(s, layers, counts)
-		if !ok || p.engine.Fits(s.Card) == 0 {
+		if !ok || p.engine.MaxLayers(s.Card) == 0 {
 			continue
 		}
 		if s.planned().Len() == 0 {
@@ -165,8 +165,8 @@
 	if s.Lost || s.Loading {
 		return 0, false
 	}
-	share, capacity := 0.0, p.capacity(s, s.Holds)
-	for at := max(s.Holds.From, 0); at < min(s.Holds.To, len(counts)); at++ {
+	share, capacity := 0.0, p.capacity(s, s.Held)
+	for at := max(s.Held.From, 0); at < min(s.Held.To, len(counts)); at++ {
 		if counts[at] < 2 {
 			return 0, false
 		}
@@ -174,7 +174,7 @@
 			share = max(share, capacity/layers[at].capacity)
 		}
 	}
-	return share + utilizationPenalty*s.Used, true
+	return share + utilizationPenalty*s.Utilization, true
 }
 
 // expand extends a gap by the adjacent layers with the least capacity, up to what an empty
@@ -183,7 +183,7 @@
 func (p *planner) expand(at int, gap api.Layers) api.Layers {
 	s := p.servers[at]
 	limit := p.targetLayers(s.Card)
-	if s.Holds.Len() > 0 || gap.Len() >= limit {
+	if s.Held.Len() > 0 || gap.Len() >= limit {
 		return gap
 	}
 	return p.weakestWindow(limit, func(window api.Layers) bool { return window.From <= gap.From && window.To >= gap.To })
@@ -194,7 +194,7 @@
 func (p *planner) fillEmpty() {
 	var empty []int
 	for i, s := range p.servers {
-		if !s.Lost && s.planned().Len() == 0 && p.engine.Fits(s.Card) > 0 {
+		if !s.Lost && s.planned().Len() == 0 && p.engine.MaxLayers(s.Card) > 0 {
 			empty = append(empty, i)
 		}
 	}
@@ -209,8 +209,8 @@
 func (p *planner) relieveOverfilled() {
 	counts := p.copyCounts(shortLoad)
 	for i, s := range p.servers {
-		held := s.Holds
-		limit := max(int(fillSecond*float64(p.engine.Fits(s.Card))), 1)
+		held := s.Held
+		limit := max(int(fillSecond*float64(p.engine.MaxLayers(s.Card))), 1)
 		if s.Lost || s.Loading || held.Len() <= limit {
 			continue
 		}
@@ -220,8 +220,8 @@
 		for held.Len() > limit && counts[held.From] > 1 {
 			held.From++
 		}
-		if held != s.Holds {
-			removeDropped(counts, s.Holds, held)
+		if held != s.Held {
+			removeDropped(counts, s.Held, held)
 			p.assign(i, held)
 		}
 	}
@@ -243,7 +243,7 @@
 	s := p.servers[at]
 	window := p.weakestWindow(p.targetLayers(s.Card), anyWindow)
 	before := deficit(layers)
-	addToLayers(layers, s.Holds, layerState{-p.capacity(s, s.Holds), -1})
+	addToLayers(layers, s.Held, layerState{-p.capacity(s, s.Held), -1})
 	addToLayers(layers, window, layerState{p.capacity(s, window), 1})
 	if minMoveGain*deficit(layers) <= before {
 		p.assign(at, window)
--- a/internal/core/spread/quality_test.go
+++ b/internal/core/spread/quality_test.go
@@ -27,15 +27,15 @@
 // computeRate returns the requests per second, times layers, that a server's processor can serve
 // when its steps are shared by many requests.
 func computeRate(engine *routes.Engine, card routes.Card) float64 {
-	prefill := float64(engine.Prompt) / engine.ReadPerSecond * card.Read
-	decode := float64(engine.Answer) * (engine.StepFor(1) - engine.Step).Seconds() * card.Pace
+	prefill := float64(engine.TypicalPrompt) / engine.ReadPerSecond * card.Read
+	decode := float64(engine.TypicalAnswer) * (engine.StepTime(1) - engine.Step).Seconds() * card.Pace
 	return float64(engine.Layers) / (prefill + decode)
 }
 
 // memoryRate returns the requests per second, times layers, that the given request memory can
 // serve.
 func memoryRate(engine *routes.Engine, tokens float64) float64 {
-	return tokens / engine.Usual() / residence.Seconds()
+	return tokens / engine.TypicalTokens() / residence.Seconds()
 }
 
 // maxRate returns the highest number of requests per second that a layout serves. It is a
@@ -58,8 +58,8 @@
 	source, sink := 0, 1+len(servers)+engine.Layers
 	network := flow.New(sink + 1)
 	for i, s := range servers {
-		network.AddArc(source, 1+i, min(computeRate(engine, s.Card), memoryRate(engine, engine.Room(s.Card, s.Holds.Len()))))
-		for layer := s.Holds.From; layer < s.Holds.To; layer++ {
+		network.AddArc(source, 1+i, min(computeRate(engine, s.Card), memoryRate(engine, engine.RequestCapacity(s.Card, s.Held.Len()))))
+		for layer := s.Held.From; layer < s.Held.To; layer++ {
 			network.AddArc(1+i, 1+len(servers)+layer, flow.Unlimited)
 		}
 	}
@@ -73,7 +73,7 @@
 // where memory is not the bottleneck, and only the rest takes memory that is.
 func upperBound(engine *routes.Engine, servers []spread.Server) float64 {
 	sum, free := 0.0, 0.0
-	perLayer := memoryRate(engine, engine.Room(routes.Card{MB: 2 * engine.LayerMB}, 1))
+	perLayer := memoryRate(engine, engine.RequestCapacity(routes.Card{MB: 2 * engine.LayerMB}, 1))
 	for _, s := range servers {
 		layers := s.Card.MB / engine.LayerMB
 		memory := layers * perLayer
@@ -94,11 +94,11 @@
 		kinds[s.Card] = append(kinds[s.Card], i)
 	}
 	for card, group := range kinds {
-		each := int(0.8 * float64(engine.Fits(card)))
+		each := int(0.8 * float64(engine.MaxLayers(card)))
 		need := (engine.Layers + each - 1) / each
 		for ; len(group) >= need; group = group[need:] {
 			for n, at := range group[:need] {
-				placed[at].Holds = api.Layers{From: n * engine.Layers / need, To: (n + 1) * engine.Layers / need}
+				placed[at].Held = api.Layers{From: n * engine.Layers / need, To: (n + 1) * engine.Layers / need}
 			}
 		}
 	}
@@ -165,8 +165,8 @@
 	}
 	best := 0.0
 	for from := 0; from < engine.Layers; from++ {
-		for to := from; to <= min(engine.Layers, from+engine.Fits(servers[at].Card)); to++ {
-			servers[at].Holds = api.Layers{From: from, To: to}
+		for to := from; to <= min(engine.Layers, from+engine.MaxLayers(servers[at].Card)); to++ {
+			servers[at].Held = api.Layers{From: from, To: to}
 			best = max(best, bestRate(engine, servers, at+1))
 		}
 	}
--- a/internal/core/spread/spread.go
+++ b/internal/core/spread/spread.go
@@ -23,18 +23,18 @@
 	// Slots is the number of concurrent requests for which the server can be the first server; 0
 	// means no limit.
 	Slots int
-	// Holds is the range of layers that the server reports to hold.
-	Holds api.Layers
-	// Ordered is the range that the server was ordered to hold, valid while Loading.
-	Ordered api.Layers
+	// Held is the range of layers that the server reports to hold.
+	Held api.Layers
+	// Target is the range that the server was ordered to hold, valid while Loading.
+	Target  api.Layers
 	Loading bool
-	// Wait is the remaining time of the load, valid while Loading.
-	Wait time.Duration
-	// Used is the utilization of the memory for requests, from 0 to 1.
-	Used float64
-	// Pace is the current slowdown: by what factor the server takes longer than usual. 0 means
+	// LoadRemaining is the remaining time of the load, valid while Loading.
+	LoadRemaining time.Duration
+	// Utilization is the utilization of the memory for requests, from 0 to 1.
+	Utilization float64
+	// Slowdown is the current slowdown: by what factor the server takes longer than usual. 0 means
 	// unknown.
-	Pace float64
+	Slowdown float64
 	// Lost is set while a server that has just disappeared may still return. The layout keeps
 	// its place, but requests can't use its layers.
 	Lost bool
@@ -47,18 +47,18 @@
 	case s.Lost:
 		return api.Layers{}
 	case s.Loading:
-		return s.Holds.Overlap(s.Ordered)
+		return s.Held.Overlap(s.Target)
 	default:
-		return s.Holds
+		return s.Held
 	}
 }
 
 // planned returns the range that the server holds, or will hold once its load is done.
 func (s Server) planned() api.Layers {
 	if s.Loading {
-		return s.Ordered
+		return s.Target
 	}
-	return s.Holds
+	return s.Held
 }
 
 // Order is an instruction to a server to hold a range of layers.
@@ -103,11 +103,11 @@
 func Layout(engine *routes.Engine, servers []Server) []Order {
 	rest := slices.Clone(servers)
 	slices.SortFunc(rest, func(a, b Server) int {
-		return cmp.Or(cmp.Compare(a.Card.Pace, b.Card.Pace), cmp.Compare(engine.Fits(b.Card), engine.Fits(a.Card)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.Card.Pace, b.Card.Pace), cmp.Compare(engine.MaxLayers(b.Card), engine.MaxLayers(a.Card)), cmp.Compare(a.ID, b.ID))
 	})
 	placed := make([]Server, len(servers))
 	for i, s := range servers {
-		placed[i] = Server{ID: s.ID, Card: s.Card, Holds: s.planned()}
+		placed[i] = Server{ID: s.ID, Card: s.Card, Held: s.planned()}
 	}
 	var orders []Order
 	for fill, next := fillFirst, fillSecond; ; fill, next = next, fillFurther {
@@ -121,7 +121,7 @@
 		for _, order := range divideLayers(engine, rest[:size]) {
 			orders = append(orders, order)
 			at := slices.IndexFunc(placed, func(s Server) bool { return s.ID == order.Server })
-			placed[at].Holds = order.Layers
+			placed[at].Held = order.Layers
 		}
 		rest = rest[size:]
 	}
@@ -130,7 +130,7 @@
 func totalFits(engine *routes.Engine, servers []Server) int {
 	sum := 0
 	for _, s := range servers {
-		sum += engine.Fits(s.Card)
+		sum += engine.MaxLayers(s.Card)
 	}
 	return sum
 }
@@ -173,7 +173,7 @@
 	if fill <= fillWide {
 		return false
 	}
-	return members[0].Slots == 0 || engine.RoomAt(fill) < float64(members[0].Slots)*engine.Usual()
+	return members[0].Slots == 0 || engine.CapacityAtFill(fill) < float64(members[0].Slots)*engine.TypicalTokens()
 }
 
 // divideLayers divides the layers among the servers of a copy in proportion to their memory.
@@ -182,10 +182,10 @@
 	var orders []Order
 	at, fits := 0, 0
 	for _, s := range members {
-		fits += engine.Fits(s.Card)
+		fits += engine.MaxLayers(s.Card)
 		// Rounding the running sum leaves no gaps and gives no server more than one layer too
 		// many.
-		to := min((fits*engine.Layers+total/2)/total, at+engine.Fits(s.Card))
+		to := min((fits*engine.Layers+total/2)/total, at+engine.MaxLayers(s.Card))
 		if to > at {
 			orders = append(orders, Order{Server: s.ID, Layers: api.Layers{From: at, To: to}})
 			at = to
@@ -208,11 +208,11 @@
 	now := slices.Clone(servers)
 	var orders []Order
 	for i, s := range now {
-		if s.Holds.Len() > 0 || engine.Fits(s.Card) == 0 {
+		if s.Held.Len() > 0 || engine.MaxLayers(s.Card) == 0 {
 			continue
 		}
-		window := bestWindow(Copies(engine, now), engine.Fits(s.Card))
-		now[i].Holds = window
+		window := bestWindow(Copies(engine, now), engine.MaxLayers(s.Card))
+		now[i].Held = window
 		orders = append(orders, Order{Server: s.ID, Layers: window})
 	}
 	return orders
--- a/internal/core/spread/spread_test.go
+++ b/internal/core/spread/spread_test.go
@@ -21,7 +21,7 @@
 )
 
 func model() *routes.Engine {
-	return &routes.Engine{Layers: 80, LayerMB: 1750, TokenBytes: 918_000, Prompt: 774, Answer: 203}
+	return &routes.Engine{Layers: 80, LayerMB: 1750, TokenBytes: 918_000, TypicalPrompt: 774, TypicalAnswer: 203}
 }
 
 func fleet(cards ...routes.Card) []spread.Server {
@@ -39,10 +39,10 @@
 			if servers[i].ID != order.Server {
 				continue
 			}
-			if order.Layers.Len() > engine.Fits(servers[i].Card) || order.Layers.From < 0 || order.Layers.To > engine.Layers {
+			if order.Layers.Len() > engine.MaxLayers(servers[i].Card) || order.Layers.From < 0 || order.Layers.To > engine.Layers {
 				t.Fatalf("order %v does not fit %v", order, servers[i])
 			}
-			servers[i].Holds = order.Layers
+			servers[i].Held = order.Layers
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	for lost := 1; lost <= 4; lost++ {
 		servers := fleet(big, middle, middle, middle, middle, middle, middle, small, small, small, small, small)
 		apply(t, model(), servers, spread.Layout(model(), servers))
-		gap := servers[lost].Holds
+		gap := servers[lost].Held
 		servers = slices.Delete(servers, lost, lost+1)
 		for range 10 {
 			apply(t, model(), servers, spread.Plan(model(), servers))
@@ -76,7 +76,7 @@
 func holders(servers []spread.Server) []int {
 	counts := make([]int, model().Layers)
 	for _, s := range servers {
-		for layer := s.Holds.From; layer < s.Holds.To; layer++ {
+		for layer := s.Held.From; layer < s.Held.To; layer++ {
 			counts[layer]++
 		}
 	}
@@ -88,8 +88,8 @@
 	g := NewWithT(t)
 	servers := fleet(big, middle, middle, middle, middle, middle, middle, small, small, small, small, small)
 	apply(t, model(), servers, spread.Layout(model(), servers))
-	lost := servers[3].Holds
-	servers[3].Holds = api.Layers{}
+	lost := servers[3].Held
+	servers[3].Held = api.Layers{}
 	g.Expect(spread.Plan(model(), servers)).To(Equal([]spread.Order{{Server: "s03", Layers: lost}}))
 }
 
@@ -100,7 +100,7 @@
 	engine := model()
 	servers := fleet(big, big, middle, middle, small, small, small, small, small)
 	apply(t, engine, servers, spread.Plan(engine, servers))
-	lost := servers[3].Holds
+	lost := servers[3].Held
 	servers = slices.Delete(servers, 3, 4)
 	orders := spread.Plan(engine, servers)
 	g.Expect(orders).To(HaveLen(2), "two small spare servers take the lost layers")
@@ -111,7 +111,7 @@
 	orders = spread.Plan(engine, servers)
 	apply(t, engine, servers, orders)
 	g.Expect(servers[:len(before)]).To(Equal(before))
-	g.Expect(servers[len(before)].Holds.Overlap(lost).Len()).To(BeNumerically(">", lost.Len()/2), "the new fast server adds capacity to layers held by slow ones")
+	g.Expect(servers[len(before)].Held.Overlap(lost).Len()).To(BeNumerically(">", lost.Len()/2), "the new fast server adds capacity to layers held by slow ones")
 }
 
 // Guards against a fast copy of as few servers as possible while the other servers of the same
@@ -123,7 +123,7 @@
 	servers := fleet(big, middle, middle, middle, middle, middle, middle, small, small, small, small, small)
 	apply(t, engine, servers, spread.Plan(engine, servers))
 	for _, s := range servers[:5] {
-		tokens := engine.Room(s.Card, s.Holds.Len()) / float64(s.Holds.Len())
+		tokens := engine.RequestCapacity(s.Card, s.Held.Len()) / float64(s.Held.Len())
 		g.Expect(tokens).To(BeNumerically(">", 100_000), s.ID)
 	}
 	g.Expect(minCopies(servers)).To(Equal(2))
@@ -138,7 +138,7 @@
 	engine.LoadTime = 14 * time.Second
 	servers := fleet(big, big, middle, middle, small, small, small, small, small)
 	apply(t, engine, servers, spread.Plan(engine, servers))
-	gap := servers[3].Holds
+	gap := servers[3].Held
 	servers[3] = spread.Server{ID: "t0", Card: middle}
 	orders := spread.Plan(engine, servers)
 	var covered []bool
@@ -150,7 +150,7 @@
 	g.Expect(orders).To(ContainElement(HaveField("Server", "t0")))
 	g.Expect(covered).NotTo(ContainElement(false))
 	// When the load is nearly done, no other server is moved for it.
-	servers[3].Ordered, servers[3].Loading, servers[3].Wait = gap, true, time.Second
+	servers[3].Target, servers[3].Loading, servers[3].LoadRemaining = gap, true, time.Second
 	g.Expect(spread.Plan(engine, servers)).To(BeEmpty())
 }
 
@@ -163,9 +163,9 @@
 	engine.LoadTime = 14 * time.Second
 	servers := fleet(big, big, middle, middle, small)
 	for i, held := range []api.Layers{{}, {From: 29, To: 54}, {From: 54, To: 67}, {From: 67, To: 80}, {From: 72, To: 80}} {
-		servers[i].Holds = held
+		servers[i].Held = held
 	}
-	servers[0].Ordered, servers[0].Loading, servers[0].Wait = api.Layers{From: 0, To: 29}, true, 4*time.Second
+	servers[0].Target, servers[0].Loading, servers[0].LoadRemaining = api.Layers{From: 0, To: 29}, true, 4*time.Second
 	for _, order := range spread.Plan(engine, servers) {
 		g.Expect(order.Server).To(Equal("s04"), "only the small server may be moved")
 	}
@@ -179,7 +179,7 @@
 	engine := model()
 	servers := fleet(big, middle, middle, middle, middle, middle, middle, small, small, small, small, small)
 	apply(t, engine, servers, spread.Plan(engine, servers))
-	lost := servers[2].Holds
+	lost := servers[2].Held
 	servers = slices.Delete(servers, 2, 3)
 	var moved int
 	for range 10 {
@@ -209,7 +209,7 @@
 				t.Fatalf("a repair removed the last copy of a layer: %v", servers)
 			}
 			if rapid.Bool().Draw(t, "crash") {
-				servers[rapid.IntRange(0, len(servers)-1).Draw(t, "which")].Holds = api.Layers{}
+				servers[rapid.IntRange(0, len(servers)-1).Draw(t, "which")].Held = api.Layers{}
 			}
 		}
 		total := 0
@@ -220,7 +220,7 @@
 			t.Fatalf("the layout does not become stable: orders %v for servers %v", orders, servers)
 		}
 		for _, s := range servers {
-			total += engine.Fits(s.Card)
+			total += engine.MaxLayers(s.Card)
 		}
 		if total*3/5 >= engine.Layers && minCopies(servers) == 0 {
 			t.Fatalf("layers remain uncovered: %v", servers)
@@ -234,7 +234,7 @@
 	g := NewWithT(t)
 	servers := fleet(middle, middle, middle, middle, middle)
 	for i, held := range []api.Layers{{From: 0, To: 23}, {From: 0, To: 23}, {From: 20, To: 43}, {From: 40, To: 63}, {From: 41, To: 63}} {
-		servers[i].Holds = held
+		servers[i].Held = held
 	}
 	for range 5 {
 		apply(t, model(), servers, spread.Plan(model(), servers))
@@ -244,7 +244,7 @@
 
 // smallRequestModel returns a model whose requests take little memory compared to its layers.
 func smallRequestModel() *routes.Engine {
-	return &routes.Engine{Layers: 80, LayerMB: 1750, TokenBytes: 360_000, Prompt: 780, Answer: 138}
+	return &routes.Engine{Layers: 80, LayerMB: 1750, TokenBytes: 360_000, TypicalPrompt: 780, TypicalAnswer: 138}
 }
 
 // smallRequestFleet returns a data centre of four fast, nine medium and fourteen small cards.
@@ -269,14 +269,14 @@
 	engine, servers := smallRequestModel(), smallRequestFleet()
 	apply(t, engine, servers, spread.Layout(engine, servers))
 	first := servers[0]
-	g.Expect(first.Holds.From).To(BeZero())
-	room := engine.Room(first.Card, first.Holds.Len()) / float64(first.Holds.Len()) / engine.Usual()
-	t.Logf("the first server of the fast copy holds %v and has memory for %.0f requests", first.Holds, room)
+	g.Expect(first.Held.From).To(BeZero())
+	room := engine.RequestCapacity(first.Card, first.Held.Len()) / float64(first.Held.Len()) / engine.TypicalTokens()
+	t.Logf("the first server of the fast copy holds %v and has memory for %.0f requests", first.Held, room)
 	g.Expect(room).To(BeNumerically(">", 192))
 	g.Expect(room).To(BeNumerically("<", 1.5*192))
 	firstServers := 0
 	for _, s := range servers {
-		if s.Holds.From == 0 && s.Holds.Len() > 0 {
+		if s.Held.From == 0 && s.Held.Len() > 0 {
 			firstServers++
 		}
 	}
@@ -292,7 +292,7 @@
 	for slots, first := range map[int]bool{64: true, 1000: false} {
 		servers := fleet(big, big, big, small)
 		for i, holds := range []api.Layers{{From: 0, To: 26}, {From: 26, To: 54}, {From: 54, To: 80}} {
-			servers[i].Holds, servers[i].Slots = holds, slots
+			servers[i].Held, servers[i].Slots = holds, slots
 		}
 		servers[3].Slots = slots
 		orders := spread.Plan(engine, servers)
--- a/internal/core/tally/reach.go
+++ b/internal/core/tally/reach.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Parameters of Reach.
+// Parameters of Reachability.
 const (
 	// maxWitnesses is how many VMs of a data centre must be unresponsive before it counts as
 	// unreachable: some may have been lost or be frozen. If a third of the VMs are frozen, three
@@ -18,11 +18,11 @@
 	unreachableFor = time.Second
 )
 
-// Reach tracks which other data centres a hub can reach, based on whether their VMs answer it.
+// Reachability tracks which other data centres a hub can reach, based on whether their VMs answer it.
 //
 // Without it, when a data centre is partitioned, each VM finds out by itself, server by server,
 // since each new connection to it hangs for 0.4 s, and the retry budget of all VMs is used up.
-type Reach struct {
+type Reachability struct {
 	unresponsive map[string]unresponsiveVMs
 }
 
@@ -41,14 +41,16 @@
 	return len(s.vms) >= min(maxWitnesses, max(s.total, minWitnesses))
 }
 
-// NewReach returns a Reach by which every data centre is reachable.
-func NewReach() *Reach { return &Reach{unresponsive: make(map[string]unresponsiveVMs)} }
+// NewReachability returns a Reachability by which every data centre is reachable.
+func NewReachability() *Reachability {
+	return &Reachability{unresponsive: make(map[string]unresponsiveVMs)}
+}
 
-// Answered records that a VM of a data centre answered.
-func (r *Reach) Answered(dataCentre string) { delete(r.unresponsive, dataCentre) }
+// RecordAnswer records that a VM of a data centre answered.
+func (r *Reachability) RecordAnswer(dataCentre string) { delete(r.unresponsive, dataCentre) }
 
-// Silent records that a VM of a data centre with that many VMs did not answer.
-func (r *Reach) Silent(now time.Duration, dataCentre, vm string, total int) {
+// RecordNoAnswer records that a VM of a data centre with that many VMs did not answer.
+func (r *Reachability) RecordNoAnswer(now time.Duration, dataCentre, vm string, total int) {
 	s := r.unresponsive[dataCentre]
 	s.at, s.total = now, total
 	if !slices.Contains(s.vms, vm) {
@@ -65,8 +67,8 @@
 	return others[:min(len(others), maxWitnesses-1)]
 }
 
-// Lost returns the unreachable data centres, sorted.
-func (r *Reach) Lost(now time.Duration) []string {
+// Unreachable returns the unreachable data centres, sorted.
+func (r *Reachability) Unreachable(now time.Duration) []string {
 	var unreachable []string
 	for dataCentre, s := range r.unresponsive {
 		if s.conclusive() && now-s.at <= unreachableFor {
--- a/internal/core/tally/reach_test.go
+++ b/internal/core/tally/reach_test.go
@@ -14,35 +14,35 @@
 // must be enough to conclude that it is unreachable.
 func TestDataCentreIsUnreachableIfItsVMsDoNotAnswer(t *testing.T) {
 	g := NewWithT(t)
-	reach := tally.NewReach()
-	reach.Silent(0, "b", "b1", 4)
-	g.Expect(reach.Lost(0)).To(BeEmpty(), "only b1 may have failed")
+	reach := tally.NewReachability()
+	reach.RecordNoAnswer(0, "b", "b1", 4)
+	g.Expect(reach.Unreachable(0)).To(BeEmpty(), "only b1 may have failed")
 	others := tally.OtherWitnesses("b1", []string{"b1", "b2", "b3", "b4"})
 	g.Expect(others).To(Equal([]string{"b2", "b3"}))
 	for _, vm := range others {
-		reach.Silent(250*time.Millisecond, "b", vm, 4)
+		reach.RecordNoAnswer(250*time.Millisecond, "b", vm, 4)
 	}
-	g.Expect(reach.Lost(300 * time.Millisecond)).To(Equal([]string{"b"}))
-	reach.Silent(500*time.Millisecond, "c", "c1", 4)
-	g.Expect(reach.Lost(500 * time.Millisecond)).To(Equal([]string{"b"}))
-	reach.Answered("b")
-	g.Expect(reach.Lost(500*time.Millisecond)).To(BeEmpty(), "one answer is enough")
+	g.Expect(reach.Unreachable(300 * time.Millisecond)).To(Equal([]string{"b"}))
+	reach.RecordNoAnswer(500*time.Millisecond, "c", "c1", 4)
+	g.Expect(reach.Unreachable(500 * time.Millisecond)).To(Equal([]string{"b"}))
+	reach.RecordAnswer("b")
+	g.Expect(reach.Unreachable(500*time.Millisecond)).To(BeEmpty(), "one answer is enough")
 }
 
 // Guards against leaving out the servers of a reachable data centre because only its hub does
 // not answer for long, or because all its VMs did not answer long ago.
 func TestLostHubDoesNotMakeDataCentreUnreachable(t *testing.T) {
 	g := NewWithT(t)
-	reach := tally.NewReach()
+	reach := tally.NewReachability()
 	for at := range 5 {
-		reach.Silent(time.Duration(at)*250*time.Millisecond, "b", "b1", 4)
+		reach.RecordNoAnswer(time.Duration(at)*250*time.Millisecond, "b", "b1", 4)
 	}
-	g.Expect(reach.Lost(time.Second)).To(BeEmpty())
+	g.Expect(reach.Unreachable(time.Second)).To(BeEmpty())
 	for _, vm := range []string{"c1", "c2", "c3"} {
-		reach.Silent(time.Second, "c", vm, 4)
+		reach.RecordNoAnswer(time.Second, "c", vm, 4)
 	}
-	g.Expect(reach.Lost(time.Second)).To(Equal([]string{"c"}))
-	g.Expect(reach.Lost(2*time.Second+time.Millisecond)).To(BeEmpty(), "the last timeout is too old")
+	g.Expect(reach.Unreachable(time.Second)).To(Equal([]string{"c"}))
+	g.Expect(reach.Unreachable(2*time.Second+time.Millisecond)).To(BeEmpty(), "the last timeout is too old")
 	g.Expect(tally.OtherWitnesses("d1", []string{"d1"})).To(BeEmpty())
 }
 
@@ -50,10 +50,10 @@
 // partition would never be detected, or each restart of the only VM would count as one.
 func TestSmallDataCentresNeedFewerWitnesses(t *testing.T) {
 	g := NewWithT(t)
-	reach := tally.NewReach()
-	reach.Silent(0, "b", "b1", 2)
-	reach.Silent(0, "c", "c1", 1)
-	g.Expect(reach.Lost(0)).To(BeEmpty())
-	reach.Silent(0, "b", "b2", 2)
-	g.Expect(reach.Lost(0)).To(Equal([]string{"b"}))
+	reach := tally.NewReachability()
+	reach.RecordNoAnswer(0, "b", "b1", 2)
+	reach.RecordNoAnswer(0, "c", "c1", 1)
+	g.Expect(reach.Unreachable(0)).To(BeEmpty())
+	reach.RecordNoAnswer(0, "b", "b2", 2)
+	g.Expect(reach.Unreachable(0)).To(Equal([]string{"b"}))
 }
--- a/internal/core/tally/tally.go
+++ b/internal/core/tally/tally.go
@@ -19,12 +19,12 @@
 
 // Parameters of a hub.
 const (
-	// Fresh is how long the loads of a report count after it was received: three reporting
+	// ReportTTL is how long the loads of a report count after it was received: three reporting
 	// intervals. The requests of a VM that has gone have ended.
-	Fresh = 750 * time.Millisecond
-	// CountsKept is how long the retries of a report count: they were made within the window of
+	ReportTTL = 750 * time.Millisecond
+	// CountsTTL is how long the retries of a report count: they were made within the window of
 	// the retry budget, whatever became of the VM.
-	CountsKept = 10 * time.Second
+	CountsTTL = 10 * time.Second
 )
 
 // Tally is the aggregated state of some VMs.
@@ -39,29 +39,29 @@
 	// and for how long to treat them as full.
 	Full map[string]time.Duration
 	// Rates are the request rates that servers set, the newest report for each.
-	Rates map[string]ratelimit.Word
+	Rates map[string]ratelimit.Report
 }
 
 func newTally() Tally {
-	return Tally{Loads: make(map[string]backends.Usage), Counts: make(map[string]budget.Count), Full: make(map[string]time.Duration), Rates: make(map[string]ratelimit.Word)}
+	return Tally{Loads: make(map[string]backends.Usage), Counts: make(map[string]budget.Count), Full: make(map[string]time.Duration), Rates: make(map[string]ratelimit.Report)}
 }
 
 func (t *Tally) add(other Tally) {
 	t.VMs += other.VMs
 	for id, load := range other.Loads {
-		t.Loads[id] = t.Loads[id].Plus(load)
+		t.Loads[id] = t.Loads[id].Add(load)
 	}
 	for service, count := range other.Counts {
 		sum := t.Counts[service]
 		sum.Requests += count.Requests
-		sum.Repeats += count.Repeats
+		sum.Retries += count.Retries
 		t.Counts[service] = sum
 	}
 	for id, span := range other.Full {
 		t.Full[id] = max(t.Full[id], span)
 	}
 	for id, report := range other.Rates {
-		if known, ok := t.Rates[id]; !ok || report.At > known.At {
+		if known, ok := t.Rates[id]; !ok || report.ObservedAt > known.ObservedAt {
 			t.Rates[id] = report
 		}
 	}
@@ -75,7 +75,7 @@
 
 // current returns the part of a report that still counts.
 func (r report) current(now time.Duration) Tally {
-	if now-r.at <= Fresh {
+	if now-r.at <= ReportTTL {
 		return r.tally
 	}
 	return Tally{Counts: r.tally.Counts}
@@ -95,24 +95,24 @@
 // Report records a VM's own tally.
 func (h *Hub) Report(now time.Duration, vm string, tally Tally) { h.vms[vm] = report{now, tally} }
 
-// ReportFar records the sum of another data centre.
-func (h *Hub) ReportFar(now time.Duration, dataCentre string, tally Tally) {
+// ReportRemote records the sum of another data centre.
+func (h *Hub) ReportRemote(now time.Duration, dataCentre string, tally Tally) {
 	if dataCentre != h.dataCentre {
 		h.remote[dataCentre] = report{now, tally}
 	}
 }
 
-// Near returns the sum of this data centre's VMs except the given one; an empty name excludes
+// LocalSum returns the sum of this data centre's VMs except the given one; an empty name excludes
 // none.
-func (h *Hub) Near(now time.Duration, except string) Tally {
+func (h *Hub) LocalSum(now time.Duration, except string) Tally {
 	sum := newTally()
 	sum.addReports(now, h.vms, except)
 	return sum
 }
 
-// Others returns the sum of all VMs except the given one.
-func (h *Hub) Others(now time.Duration, except string) Tally {
-	sum := h.Near(now, except)
+// SumExcept returns the sum of all VMs except the given one.
+func (h *Hub) SumExcept(now time.Duration, except string) Tally {
+	sum := h.LocalSum(now, except)
 	sum.addReports(now, h.remote, "")
 	return sum
 }
@@ -121,7 +121,7 @@
 // deletes expired reports.
 func (t *Tally) addReports(now time.Duration, reports map[string]report, except string) {
 	for from, report := range reports {
-		if now-report.at > CountsKept {
+		if now-report.at > CountsTTL {
 			delete(reports, from)
 		} else if from != except {
 			t.add(report.current(now))
--- a/internal/core/tally/tally_test.go
+++ b/internal/core/tally/tally_test.go
@@ -15,9 +15,9 @@
 func newTally(vms int, load float64, retries int) tally.Tally {
 	return tally.Tally{
 		VMs: vms, Loads: map[string]backends.Usage{"s1": {Memory: load, Running: vms}},
-		Counts: map[string]budget.Count{"llm": {Requests: 10 * retries, Repeats: retries}},
+		Counts: map[string]budget.Count{"llm": {Requests: 10 * retries, Retries: retries}},
 		Full:   map[string]time.Duration{"s2": 200 * time.Millisecond},
-		Rates:  map[string]ratelimit.Word{"s3": {PerSecond: 6.5, At: time.Second}},
+		Rates:  map[string]ratelimit.Report{"s3": {PerSecond: 6.5, ObservedAt: time.Second}},
 	}
 }
 
@@ -26,17 +26,17 @@
 	hub := tally.NewHub("a")
 	hub.Report(0, "vm-1", newTally(1, 100, 1))
 	hub.Report(0, "vm-2", newTally(1, 200, 2))
-	hub.ReportFar(0, "b", newTally(3, 1000, 5))
-	hub.ReportFar(0, "a", newTally(9, 9999, 9)) // a data centre's own sum is ignored
-	g.Expect(hub.Others(0, "vm-1")).To(Equal(newTally(4, 1200, 7)))
-	g.Expect(hub.Others(0, "vm-2")).To(Equal(newTally(4, 1100, 6)))
-	g.Expect(hub.Near(0, "")).To(Equal(newTally(2, 300, 3)), "the sum for another data centre excludes that one's VMs")
+	hub.ReportRemote(0, "b", newTally(3, 1000, 5))
+	hub.ReportRemote(0, "a", newTally(9, 9999, 9)) // a data centre's own sum is ignored
+	g.Expect(hub.SumExcept(0, "vm-1")).To(Equal(newTally(4, 1200, 7)))
+	g.Expect(hub.SumExcept(0, "vm-2")).To(Equal(newTally(4, 1100, 6)))
+	g.Expect(hub.LocalSum(0, "")).To(Equal(newTally(2, 300, 3)), "the sum for another data centre excludes that one's VMs")
 
 	longer := newTally(1, 200, 2)
 	longer.Full["s2"] = 400 * time.Millisecond
 	hub.Report(0, "vm-2", longer)
-	g.Expect(hub.Others(0, "vm-1").Full).To(Equal(longer.Full), "the longest time wins")
-	g.Expect(hub.Others(tally.Fresh+1, "vm-1").Full).To(BeEmpty())
+	g.Expect(hub.SumExcept(0, "vm-1").Full).To(Equal(longer.Full), "the longest time wins")
+	g.Expect(hub.SumExcept(tally.ReportTTL+1, "vm-1").Full).To(BeEmpty())
 }
 
 // Guards against two faults after VMs are killed: their loads remain in the sums, so idle
@@ -46,15 +46,15 @@
 	g := NewWithT(t)
 	hub := tally.NewHub("a")
 	hub.Report(0, "vm-1", newTally(1, 100, 1))
-	hub.ReportFar(0, "b", newTally(3, 1000, 5))
-	soon := hub.Others(tally.Fresh, "vm-2")
+	hub.ReportRemote(0, "b", newTally(3, 1000, 5))
+	soon := hub.SumExcept(tally.ReportTTL, "vm-2")
 	g.Expect(soon.VMs).To(Equal(4))
 	g.Expect(soon.Loads).To(HaveKeyWithValue("s1", backends.Usage{Memory: 1100, Running: 4}))
-	later := hub.Others(tally.Fresh+time.Millisecond, "vm-2")
+	later := hub.SumExcept(tally.ReportTTL+time.Millisecond, "vm-2")
 	g.Expect(later.VMs).To(BeZero())
 	g.Expect(later.Loads).To(BeEmpty())
-	g.Expect(later.Counts["llm"].Repeats).To(Equal(6))
-	g.Expect(hub.Others(tally.CountsKept+time.Millisecond, "vm-2").Counts).To(BeEmpty())
+	g.Expect(later.Counts["llm"].Retries).To(Equal(6))
+	g.Expect(hub.SumExcept(tally.CountsTTL+time.Millisecond, "vm-2").Counts).To(BeEmpty())
 }
 
 // Guards against reporting an older rate of a server after a newer one.
@@ -62,10 +62,10 @@
 	g := NewWithT(t)
 	hub := tally.NewHub("a")
 	older, newer := newTally(1, 100, 1), newTally(1, 100, 1)
-	newer.Rates["s3"] = ratelimit.Word{PerSecond: ratelimit.Unlimited, At: 2 * time.Second}
+	newer.Rates["s3"] = ratelimit.Report{PerSecond: ratelimit.Unlimited, ObservedAt: 2 * time.Second}
 	hub.Report(0, "vm-1", newer)
 	hub.Report(0, "vm-2", older)
-	hub.ReportFar(0, "b", older)
-	g.Expect(hub.Others(0, "vm-3").Rates).To(Equal(newer.Rates))
-	g.Expect(hub.Others(tally.Fresh+1, "vm-3").Rates).To(BeEmpty(), "the report of a VM that has gone")
+	hub.ReportRemote(0, "b", older)
+	g.Expect(hub.SumExcept(0, "vm-3").Rates).To(Equal(newer.Rates))
+	g.Expect(hub.SumExcept(tally.ReportTTL+1, "vm-3").Rates).To(BeEmpty(), "the report of a VM that has gone")
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -30,8 +30,8 @@
 // waitUntil sets the request's timer: it waits for an event or until at,
 // whichever comes first.
 func (m *Machine) waitUntil(r *request.Request, at Time) {
-	r.Wake = max(at, 1)
-	heap.Push(&m.timers.requestTimers, timerEntry{at: r.Wake, request: r.ID})
+	r.WaitUntil = max(at, 1)
+	heap.Push(&m.timers.requestTimers, timerEntry{at: r.WaitUntil, request: r.ID})
 }
 
 // popExpired removes one expired timer and returns its request, or false if no
@@ -41,8 +41,8 @@
 	for len(*queue) > 0 && (*queue)[0].at <= now {
 		entry := heap.Pop(queue).(timerEntry)
 		r, ok := m.requests[entry.request]
-		if ok && r.Wake == entry.at {
-			r.Wake = 0
+		if ok && r.WaitUntil == entry.at {
+			r.WaitUntil = 0
 			return r, true
 		}
 	}
@@ -55,7 +55,7 @@
 	queue := &m.timers.requestTimers
 	for len(*queue) > 0 {
 		first := (*queue)[0]
-		if r, ok := m.requests[first.request]; ok && r.Wake == first.at {
+		if r, ok := m.requests[first.request]; ok && r.WaitUntil == first.at {
 			return first.at, true
 		}
 		heap.Pop(queue)
--- a/internal/edge/comeback_test.go
+++ b/internal/edge/comeback_test.go
@@ -25,7 +25,7 @@
 // versioned is a configuration with a route of its own.
 func versioned(version uint64) tableValue {
 	t := table(version)
-	t.Routes = append(t.Routes, route(fmt.Sprintf("/v%d/", version), routes.Freely, false))
+	t.Routes = append(t.Routes, route(fmt.Sprintf("/v%d/", version), routes.Repeatable, false))
 	return t
 }
 
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -77,27 +77,27 @@
 		debug.SetMemoryLimit(int64(memoryPart * s.MemoryMB * (1 << 20)))
 	}
 	debug.SetGCPercent(collectAt)
-	retries := budget.New(budget.Options{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow, VMs: fewestVMs, UnknownVMs: unknownVMs, UnknownFor: unknownFor, Random: rand.Float64})
+	retries := budget.New(budget.Options{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow, MinVMs: fewestVMs, StartupVMs: unknownVMs, StartupPeriod: unknownFor, Random: rand.Float64})
 	dispatcher := relay.NewDispatcher(bootclock.Now, retries)
-	dispatcher.Fleet(func(_ time.Duration, fleet *backends.Fleet) { fleet.Signs(s.Signs) })
+	dispatcher.WithFleet(func(_ time.Duration, fleet *backends.Fleet) { fleet.SetHeartbeatInterval(s.Signs) })
 	if len(s.Seeds) == 0 {
-		dispatcher.Live(1)
+		dispatcher.SetLiveVMs(1)
 	}
 	if s.Peers == "" {
-		dispatcher.Members(s.VM, []lease.VM{{Name: s.VM, DataCentre: s.DataCentre}})
+		dispatcher.SetMembers(s.VM, []lease.VM{{Name: s.VM, DataCentre: s.DataCentre}})
 	}
 	config := newConfigReader(p, dispatcher)
 	stop := newStopper(p)
 	handler := relay.New(relay.Options{
 		Log: p.Log, Wire: p.Requests, Engines: p.Engines, Dispatcher: dispatcher,
-		Proven: config.proven, DataCentre: s.DataCentre, Patience: patience,
+		Proven: config.proven, DataCentre: s.DataCentre, StallTimeout: patience,
 	})
 	// The duties go on through the planned stop, whose end ends the group.
 	var group run.Group
 	actors.AddContext(&group, reload.run)
-	actors.AddContext(&group, handler.RunPaces)
-	actors.AddContext(&group, handler.RunPoison)
-	entries := newServerList(p, dispatcher, handler.Registered)
+	actors.AddContext(&group, handler.RunPaceRefresh)
+	actors.AddContext(&group, handler.RunPoisonDetection)
+	entries := newServerList(p, dispatcher, handler.ObserveProcess)
 	placer := newPlacer(p, dispatcher, stop.stopping)
 	if s.Peers != "" {
 		talk := newPeers(p, dispatcher, handler)
@@ -141,7 +141,7 @@
 		Ask:  ask.changes, Now: bootclock.Now,
 	})
 	talk.tells = entries.learns.Tells
-	placer.candidates, placer.settled, placer.role.Ask = talk.candidates, talk.settled, ask.holding
+	placer.candidates, placer.settled, placer.role.QueryHolder = talk.candidates, talk.settled, ask.holding
 	tallies := newTallies(talk, config.keeper)
 	actors.AddContext(group, tallies.run)
 	return talk.add(
--- a/internal/edge/fuzz_test.go
+++ b/internal/edge/fuzz_test.go
@@ -19,7 +19,7 @@
 func FuzzTally(f *testing.F) {
 	for _, told := range []tally.Tally{
 		{},
-		{VMs: 3, Loads: map[string]backends.Usage{"s1": {Memory: 4 * loadUnit, Running: 3}}, Counts: map[string]budget.Count{"app": {Requests: 9, Repeats: 2}}, Rates: map[string]ratelimit.Word{"s1": {PerSecond: 6.5, At: -time.Second}}},
+		{VMs: 3, Loads: map[string]backends.Usage{"s1": {Memory: 4 * loadUnit, Running: 3}}, Counts: map[string]budget.Count{"app": {Requests: 9, Retries: 2}}, Rates: map[string]ratelimit.Report{"s1": {PerSecond: 6.5, ObservedAt: -time.Second}}},
 	} {
 		data, err := proto.Marshal(wireTally(told, 0))
 		if err != nil {
@@ -42,11 +42,11 @@
 		}
 		for service, count := range read.Counts {
 			g.Expect(count.Requests).To(BeNumerically(">=", 0), service)
-			g.Expect(count.Repeats).To(BeNumerically(">=", 0), service)
+			g.Expect(count.Retries).To(BeNumerically(">=", 0), service)
 		}
 		for id, word := range read.Rates {
 			g.Expect(word.PerSecond).To(BeNumerically(">=", 0), id)
-			g.Expect(word.At).To(BeNumerically("<=", 0), id)
+			g.Expect(word.ObservedAt).To(BeNumerically("<=", 0), id)
 		}
 		again := readTally(wireTally(read, 0), 0)
 		g.Expect(again.VMs).To(Equal(read.VMs))
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -122,7 +122,7 @@
 		Now:      bootclock.Now,
 		Seed:     incarnation,
 	})
-	handler.Found = talk.lost
+	handler.OnUnresponsive = talk.lost
 	talk.gossip.OnEntry(keyWord, talk.heard)
 	return talk
 }
@@ -226,10 +226,10 @@
 	now := word{Count: t.count}
 	var news []backends.Departure
 	pace := paceFor(len(t.others()) + 1)
-	t.dispatcher.Fleet(func(at time.Duration, fleet *backends.Fleet) {
-		news = fleet.News()
+	t.dispatcher.WithFleet(func(at time.Duration, fleet *backends.Fleet) {
+		news = fleet.TakeDepartures()
 		if at >= t.pacesTold+pace {
-			t.pacesTold, now.Slow = at, fleet.Paces(at, 2*pace)
+			t.pacesTold, now.Slow = at, fleet.PacesToPublish(at, 2*pace)
 		}
 	})
 	if !t.tells() {
@@ -254,7 +254,7 @@
 // findings lists what this word tells of bodies that may crash servers: all that is
 // new, and what the last words told.
 func (t *peers) findings() []relay.Finding {
-	fresh := t.handler.Findings()
+	fresh := t.handler.TakeFindings()
 	t.recent = append(t.recent, fresh)
 	if len(t.recent) > toldTimes {
 		t.recent = t.recent[1:]
@@ -310,17 +310,17 @@
 		return
 	}
 	for _, finding := range now.Findings {
-		t.handler.HeardFinding(finding)
+		t.handler.ReceiveFinding(finding)
 	}
 	for _, id := range now.Lost {
-		t.handler.Lost(id, true)
+		t.handler.MarkUnresponsive(id, true)
 	}
-	t.dispatcher.Fleet(func(at time.Duration, fleet *backends.Fleet) {
+	t.dispatcher.WithFleet(func(at time.Duration, fleet *backends.Fleet) {
 		for id, pace := range now.Slow {
-			fleet.HeardPace(at, id, pace)
+			fleet.SetRemotePace(at, id, pace)
 		}
 		for _, gone := range now.Left {
-			fleet.Leave(at, gone)
+			fleet.ApplyDeparture(at, gone)
 		}
 	})
 }
--- a/internal/edge/placer.go
+++ b/internal/edge/placer.go
@@ -27,11 +27,11 @@
 // roleTimes are the times of the role that orders layers. A VM that stops gives it
 // up, so the lease is waited out only after a VM was lost.
 var roleTimes = role.Times{
-	Lease:       3 * time.Second,
-	Interval:    1500 * time.Millisecond,
-	Seldom:      7 * time.Second,
-	SeldomPerVM: 500 * time.Millisecond,
-	Retry:       500 * time.Millisecond,
+	Lease:                   3 * time.Second,
+	Interval:                1500 * time.Millisecond,
+	BackgroundInterval:      7 * time.Second,
+	BackgroundIntervalPerVM: 500 * time.Millisecond,
+	RetryInterval:           500 * time.Millisecond,
 }
 
 // roleCandidates is the number of VMs of a data centre that look often whether the
@@ -217,7 +217,7 @@
 	if table == nil {
 		return
 	}
-	for _, service := range table.Engines() {
+	for _, service := range table.ModelServices() {
 		servers, listed, loads := p.servers(service)
 		if !p.ready(servers) {
 			continue
@@ -232,13 +232,13 @@
 // servers are the data centre's, each with what it holds and was ordered to, and the loads
 // that may run there. Servers that others wait for in vain are left out, seconds before the
 // platform misses them.
-func (p *placer) servers(service routes.Service) ([]spread.Server, map[string]backends.Server, spread.Loads) {
+func (p *placer) servers(service routes.Service) ([]spread.Server, map[string]backends.Server, spread.LoadLimit) {
 	var listed []backends.Server
 	paces, used := make(map[string]float64), make(map[string]float64)
-	p.dispatcher.Fleet(func(at time.Duration, fleet *backends.Fleet) {
-		listed = slices.DeleteFunc(fleet.Servers(service.Name), func(s backends.Server) bool { return fleet.IsDark(at, s.ID) })
+	p.dispatcher.WithFleet(func(at time.Duration, fleet *backends.Fleet) {
+		listed = slices.DeleteFunc(fleet.Servers(service.Name), func(s backends.Server) bool { return fleet.IsUnresponsive(at, s.ID) })
 		for _, s := range listed {
-			paces[s.ID], used[s.ID] = fleet.Pace(at, s.ID), fleet.Used(service.Engine, s.ID)
+			paces[s.ID], used[s.ID] = fleet.Pace(at, s.ID), fleet.MemoryUtilisation(service.Engine, s.ID)
 		}
 	})
 	now := bootclock.Now()
@@ -248,18 +248,18 @@
 		if s.DataCentre != p.parts.Settings.DataCentre {
 			continue
 		}
-		server := spread.Server{ID: s.ID, Card: service.Engine.Cards[s.Card], Slots: s.Slots, Holds: span(s.Holds), Pace: paces[s.ID], Used: used[s.ID]}
-		if order, ok := p.pending[s.ID]; ok && (server.Holds == order.layers || now > order.until) {
+		server := spread.Server{ID: s.ID, Card: service.Engine.Cards[s.Card], Slots: s.Slots, Held: span(s.LayerRanges), Slowdown: paces[s.ID], Utilization: used[s.ID]}
+		if order, ok := p.pending[s.ID]; ok && (server.Held == order.layers || now > order.until) {
 			delete(p.pending, s.ID)
 			delete(p.refusals, s.ID)
 		} else if ok {
-			server.Ordered, server.Loading, server.Wait = order.layers, true, order.loaded-now
+			server.Target, server.Loading, server.LoadRemaining = order.layers, true, order.loaded-now
 		} else if now < p.refusals[s.ID].until {
-			if server.Holds.Len() == 0 {
+			if server.Held.Len() == 0 {
 				continue
 			}
 			// It holds what it holds, and can't be moved.
-			server.Ordered, server.Loading = server.Holds, true
+			server.Target, server.Loading = server.Held, true
 		}
 		servers = append(servers, server)
 		byID[s.ID] = s
@@ -270,12 +270,12 @@
 // loads are those that may run in this data centre beside those of the others. A server
 // elsewhere that holds nothing counts as loading. Until requests come, nothing is bounded:
 // what is loaded by then is ready sooner for all.
-func (p *placer) loads(engine *routes.Engine, listed []backends.Server) spread.Loads {
+func (p *placer) loads(engine *routes.Engine, listed []backends.Server) spread.LoadLimit {
 	if engine.LoadsAtOnce == 0 {
-		return spread.Loads{}
+		return spread.LoadLimit{}
 	}
-	if p.begun = p.begun || p.dispatcher.Begun(); !p.begun {
-		return spread.Loads{}
+	if p.begun = p.begun || p.dispatcher.HasRecentRequests(); !p.begun {
+		return spread.LoadLimit{}
 	}
 	own, empty := p.parts.Settings.DataCentre, 0
 	var elsewhere []spread.Server
@@ -285,18 +285,18 @@
 			continue
 		}
 		places = append(places, s.DataCentre)
-		server := spread.Server{ID: s.ID, Holds: span(s.Holds)}
+		server := spread.Server{ID: s.ID, Held: span(s.LayerRanges)}
 		elsewhere = append(elsewhere, server)
-		if server.Holds.Len() == 0 {
+		if server.Held.Len() == 0 {
 			empty++
 		}
 	}
 	slices.Sort(places)
 	places = slices.Compact(places)
-	return spread.Loads{
-		AtOnce:    spread.Share(engine.LoadsAtOnce, len(places), empty),
-		Elsewhere: spread.Copies(engine, elsewhere),
-		Turn:      slices.Index(places, own),
+	return spread.LoadLimit{
+		MaxConcurrent: spread.LocalLoadLimit(engine.LoadsAtOnce, len(places), empty),
+		RemoteCopies:  spread.Copies(engine, elsewhere),
+		Offset:        slices.Index(places, own),
 	}
 }
 
@@ -310,13 +310,13 @@
 	empty := make(map[routes.Card]int)
 	for _, s := range servers {
 		present[s.ID] = true
-		if s.Holds.Len() == 0 && !s.Loading {
+		if s.Held.Len() == 0 && !s.Loading {
 			empty[s.Card]++
 		}
 	}
 	for _, s := range p.last[service.Name] {
 		if !present[s.ID] && !s.Lost {
-			p.lost[s.ID] = lostServer{server: spread.Server{ID: s.ID, Card: s.Card, Slots: s.Slots, Holds: s.Holds, Lost: true}, service: service.Name, until: now + lostGrace}
+			p.lost[s.ID] = lostServer{server: spread.Server{ID: s.ID, Card: s.Card, Slots: s.Slots, Held: s.Held, Lost: true}, service: service.Name, until: now + lostGrace}
 		}
 	}
 	p.last[service.Name] = servers
@@ -339,7 +339,7 @@
 }
 
 // span is the range from the first to the last layer held.
-func span(holds []backends.Held) api.Layers {
+func span(holds []backends.LayerRange) api.Layers {
 	var whole api.Layers
 	for i, held := range holds {
 		if i == 0 {
@@ -358,7 +358,7 @@
 		p.count, p.changed = len(servers), now
 	}
 	for _, s := range servers {
-		if s.Holds.Len() > 0 {
+		if s.Held.Len() > 0 {
 			return true
 		}
 	}
@@ -368,7 +368,7 @@
 // order gives an order on condition of the server's count of orders, so that one
 // which arrives late, after a newer one, does nothing.
 func (p *placer) order(ctx context.Context, service routes.Service, server backends.Server, order spread.Order) {
-	load, now := service.Engine.LoadFor(order.Layers.Len()), bootclock.Now()
+	load, now := service.Engine.LoadTimeFor(order.Layers.Len()), bootclock.Now()
 	p.pending[order.Server] = pendingOrder{layers: order.Layers, loaded: now + load, until: now + orderLost + 4*load}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -388,7 +388,7 @@
 
 func (p *placer) give(ctx context.Context, server backends.Server, order spread.Order) error {
 	report, err := p.parts.Engines.Report(ctx, server.Address)
-	p.signals.Take(relay.Said{Server: server.ID, Signals: report.Signals})
+	p.signals.Apply(relay.ServerSignals{Server: server.ID, Signals: report.Signals})
 	if err != nil {
 		return err
 	}
@@ -401,7 +401,7 @@
 	if report.Layers == order.Layers {
 		return errHeld
 	}
-	asked, err := p.parts.Engines.Place(ctx, server.Address, server.Name, relay.Order{Orders: report.Orders, Layers: order.Layers})
-	p.signals.Take(relay.Said{Server: server.ID, Signals: asked})
+	asked, err := p.parts.Engines.Place(ctx, server.Address, server.Name, relay.Order{ExpectedOrderCount: report.OrderCount, Layers: order.Layers})
+	p.signals.Apply(relay.ServerSignals{Server: server.ID, Signals: asked})
 	return err
 }
--- a/internal/edge/placer_test.go
+++ b/internal/edge/placer_test.go
@@ -49,10 +49,10 @@
 		d := relay.NewDispatcher(bootclock.Now, budget.New(budget.Options{Window: 10 * time.Second}))
 		s1 := backends.Server{ID: "s1", Name: "s1", Service: "llm", Address: "s1:1", DataCentre: "a"}
 		var left []backends.Server
-		d.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Put(now, s1) })
+		d.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Put(now, s1) })
 		p := &placer{parts: Parts{Engines: book}, signals: relay.NewSignals(logr.Discard(), d)}
 		_ = p.give(context.Background(), s1, spread.Order{Server: "s1", Layers: api.Layers{From: 0, To: 9}})
-		d.Fleet(func(_ time.Duration, fleet *backends.Fleet) { left = fleet.Servers("llm") })
+		d.WithFleet(func(_ time.Duration, fleet *backends.Fleet) { left = fleet.Servers("llm") })
 		g.Expect(left).To(BeEmpty(), name)
 	}
 }
@@ -101,7 +101,7 @@
 	service, _ := table.Service("llm")
 	dispatcher := relay.NewDispatcher(bootclock.Now, nil)
 	server := backends.Server{ID: "s1", Service: "llm", Address: "s1:1", DataCentre: "a", Card: "card"}
-	dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Put(now, server) })
+	dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Put(now, server) })
 	p := newPlacer(Parts{Engines: &orderBook{fails: context.DeadlineExceeded}, Settings: Settings{DataCentre: "a"}}, dispatcher, nil)
 
 	order := spread.Order{Server: "s1", Layers: api.Layers{From: 0, To: 8}}
@@ -130,15 +130,15 @@
 	retries := budget.New(budget.Options{Window: 10 * time.Second})
 	p := newPlacer(Parts{Settings: Settings{DataCentre: "b"}}, relay.NewDispatcher(bootclock.Now, retries), nil)
 	listed := []backends.Server{
-		{ID: "s1", DataCentre: "a", Holds: []backends.Held{{Layers: api.Layers{From: 0, To: 5}}}},
+		{ID: "s1", DataCentre: "a", LayerRanges: []backends.LayerRange{{Layers: api.Layers{From: 0, To: 5}}}},
 		{ID: "s2", DataCentre: "a"},
 		{ID: "s3", DataCentre: "b"},
 	}
-	g.Expect(p.loads(engine, listed)).To(Equal(spread.Loads{}), "nothing is asked yet")
-	retries.Request(bootclock.Now(), "llm")
-	g.Expect(p.loads(engine, listed)).To(Equal(spread.Loads{
-		AtOnce: 3, Elsewhere: []int{1, 1, 1, 1, 1, 0, 0, 0}, Turn: 1,
+	g.Expect(p.loads(engine, listed)).To(Equal(spread.LoadLimit{}), "nothing is asked yet")
+	retries.CountRequest(bootclock.Now(), "llm")
+	g.Expect(p.loads(engine, listed)).To(Equal(spread.LoadLimit{
+		MaxConcurrent: 3, RemoteCopies: []int{1, 1, 1, 1, 1, 0, 0, 0}, Offset: 1,
 	}), "one server elsewhere is empty, and may be loading")
 	engine.LoadsAtOnce = 0
-	g.Expect(p.loads(engine, listed)).To(Equal(spread.Loads{}))
+	g.Expect(p.loads(engine, listed)).To(Equal(spread.LoadLimit{}))
 }
--- a/internal/edge/questions.go
+++ b/internal/edge/questions.go
@@ -59,7 +59,7 @@
 
 // Holding implements rolesv1connect.RolesServiceHandler.
 func (s *rolesService) Holding(_ context.Context, request *connect.Request[rolesv1.HoldingRequest]) (*connect.Response[rolesv1.HoldingResponse], error) {
-	tenure := s.role.Tenure()
+	tenure := s.role.LeaseState()
 	if request.Msg.Role != s.role.Name || !tenure.Held {
 		return connect.NewResponse(&rolesv1.HoldingResponse{}), nil
 	}
--- a/internal/edge/reach.go
+++ b/internal/edge/reach.go
@@ -35,13 +35,13 @@
 // reaches is what the hub of a data centre finds out about the ways to the others.
 type reaches struct {
 	mu    sync.Mutex
-	reach *tally.Reach
+	reach *tally.Reachability
 	// known are the VMs of other data centres. Only update uses it.
 	known map[string]farVMs
 }
 
 func newReaches() *reaches {
-	return &reaches{reach: tally.NewReach(), known: make(map[string]farVMs)}
+	return &reaches{reach: tally.NewReachability(), known: make(map[string]farVMs)}
 }
 
 // update takes the VMs that live, in the order in which they are hub, and lists the other
@@ -66,7 +66,7 @@
 func (r *reaches) lost() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reach.Lost(bootclock.Now())
+	return r.reach.Unreachable(bootclock.Now())
 }
 
 // heard notes whether a VM of a data centre answered. A refused connection is none: some cuts
@@ -78,9 +78,9 @@
 	code := connect.CodeOf(err)
 	silent = code == connect.CodeDeadlineExceeded || code == connect.CodeUnavailable || errors.Is(err, peer.ErrUnknownVM)
 	if silent {
-		r.reach.Silent(bootclock.Now(), dataCentre, vm, of)
+		r.reach.RecordNoAnswer(bootclock.Now(), dataCentre, vm, of)
 	} else {
-		r.reach.Answered(dataCentre)
+		r.reach.RecordAnswer(dataCentre)
 	}
 	return silent
 }
@@ -89,12 +89,12 @@
 // after it are asked whether they are reached.
 func (t *tallies) tellFar(ctx context.Context, dataCentre string, ranked []string) {
 	t.mu.Lock()
-	near := t.hub.Near(bootclock.Now(), "")
+	near := t.hub.LocalSum(bootclock.Now(), "")
 	t.mu.Unlock()
 	answer, err := t.tell(ctx, ranked[0], t.dataCentre, near, reachTimeout)
 	if err == nil {
 		t.mu.Lock()
-		t.hub.ReportFar(bootclock.Now(), dataCentre, answer.tally)
+		t.hub.ReportRemote(bootclock.Now(), dataCentre, answer.tally)
 		t.mu.Unlock()
 	}
 	if !t.reaches.heard(dataCentre, ranked[0], len(ranked), err) {
@@ -111,7 +111,7 @@
 // unreached keeps this VM's requests off the data centres that are out of reach, and says in
 // the log which ones were lost or are back. Only run may call it.
 func (t *tallies) unreached(dataCentres []string) {
-	t.dispatcher.Unreached(dataCentres)
+	t.dispatcher.SetUnreachable(dataCentres)
 	for _, dataCentre := range dataCentres {
 		if !slices.Contains(t.cutOff, dataCentre) {
 			telemetry.DataCentreLost.Log(t.log, "dataCentre", dataCentre)
--- a/internal/edge/reach_test.go
+++ b/internal/edge/reach_test.go
@@ -48,7 +48,7 @@
 	go func() { _ = serving.Serve(listener) }()
 	t.Cleanup(func() { _ = serving.Close() })
 	directory.Put(peer.Member{Name: "b4", DataCentre: "b", Address: listener.Addr().String()})
-	hub.reaches.reach.Silent(time.Hour, "b", "b1", 3) // the loss would not end by itself
+	hub.reaches.reach.RecordNoAnswer(time.Hour, "b", "b1", 3) // the loss would not end by itself
 	hub.tellFar(context.Background(), "b", []string{"b4"})
 	g.Expect(hub.reaches.lost()).To(BeEmpty())
 }
--- a/internal/edge/rig_test.go
+++ b/internal/edge/rig_test.go
@@ -100,7 +100,7 @@
 func (m *memory) comeBack(from saved) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	version, err := history.At(m.version.History()+1, from.version.Revision())
+	version, err := history.NewVersion(m.version.History()+1, from.version.Revision())
 	if err != nil {
 		panic(err)
 	}
@@ -429,17 +429,17 @@
 	w.Header().Set("X-Response-Seal", "seal")
 }
 
-func route(prefix string, repeat routes.Repeat, stream bool) routes.Route {
+func route(prefix string, repeat routes.RepeatPolicy, stream bool) routes.Route {
 	return routes.Route{
-		Name: prefix, Host: "app.example", Prefix: prefix, Repeat: repeat, Stream: stream, Attempts: 2,
-		Timeout: 6 * time.Second, Target: 300 * time.Millisecond, Shares: []routes.Share{{Service: "app", Weight: 1}},
+		Name: prefix, Host: "app.example", Prefix: prefix, Repeat: repeat, Stream: stream, MaxAttempts: 2,
+		Timeout: 6 * time.Second, TargetLatency: 300 * time.Millisecond, Shares: []routes.Share{{Service: "app", Weight: 1}},
 	}
 }
 
 func table(version uint64) tableValue {
 	return tableValue{
 		Version: version,
-		Routes:  []routes.Route{route("/plain/", routes.Freely, false), route("/once/", routes.Once, false), route("/stream/", routes.Resumable, true)},
+		Routes:  []routes.Route{route("/plain/", routes.Repeatable, false), route("/once/", routes.AtMostOnce, false), route("/stream/", routes.Resumable, true)},
 		Keys:    map[string]routes.Account{"key": {Name: "account"}},
 	}
 }
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -64,7 +64,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			l.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Tidy(now) })
+			l.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.RemoveExpired(now) })
 		case <-ctx.Done():
 			return
 		}
@@ -84,7 +84,7 @@
 		telemetry.PlatformCopied.Log(l.log, "kind", l.parts.Servers.Kind, "revision", list.Version.String(), "before", l.listed.String())
 	}
 	l.listed = list.Version
-	l.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Replace(now, servers, list.Version) })
+	l.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Replace(now, servers, list.Version) })
 	telemetry.RelayServers.Log(l.log, "listed", len(servers), "revision", list.Version.String())
 	return nil
 }
@@ -105,15 +105,15 @@
 		l.remove(event.Object)
 		return nil
 	}
-	l.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Put(now, server) })
+	l.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Put(now, server) })
 	telemetry.RelayServers.Log(l.log, "server", server.ID, "dataCentre", server.DataCentre, "draining", server.Draining,
-		"holds", server.Holds, "revision", event.Object.Version.String())
+		"holds", server.LayerRanges, "revision", event.Object.Version.String())
 	return nil
 }
 
 // remove takes the word that an entry is gone, or names no server to use.
 func (l *serverList) remove(object objects.Object) {
-	l.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Remove(now, object.Name, object.Version) })
+	l.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Remove(now, object.Name, object.Version) })
 }
 
 // Broken implements objects.Sink.
@@ -127,7 +127,7 @@
 	if older := errors.Is(err, objects.ErrStaleList); older != l.older.Swap(older) && older {
 		telemetry.PlatformOlder.Log(l.log, "kind", l.parts.Servers.Kind, "cause", err.Error())
 	}
-	l.dispatcher.Fleet(func(_ time.Duration, fleet *backends.Fleet) { fleet.Outage() })
+	l.dispatcher.WithFleet(func(_ time.Duration, fleet *backends.Fleet) { fleet.SetPlatformDown() })
 }
 
 func (l *serverList) back() {
@@ -135,7 +135,7 @@
 	if l.lost.Swap(false) {
 		telemetry.PlatformBack.Log(l.log)
 	}
-	l.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Back(now) })
+	l.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.SetPlatformUp(now) })
 }
 
 // decode reads an entry. One that names no server to use is left out, with a line for
--- a/internal/edge/tally.go
+++ b/internal/edge/tally.go
@@ -112,10 +112,10 @@
 func (t *tallies) round(ctx context.Context) {
 	everywhere := t.everywhere()
 	if len(everywhere) > 1 {
-		t.dispatcher.Live(len(everywhere))
+		t.dispatcher.SetLiveVMs(len(everywhere))
 	}
 	if t.settled() {
-		t.dispatcher.Members(t.self, everywhere)
+		t.dispatcher.SetMembers(t.self, everywhere)
 	}
 	ranked := lease.Rank(dutyTally, t.dataCentre, everywhere)
 	own := t.own()
@@ -139,15 +139,15 @@
 	}
 	t.unreached(t.reaches.lost())
 	t.mu.Lock()
-	others := t.hub.Others(bootclock.Now(), t.self)
+	others := t.hub.SumExcept(bootclock.Now(), t.self)
 	t.mu.Unlock()
 	t.learn(others, others.VMs > 0)
 }
 
 func (t *tallies) own() tally.Tally {
-	own := tally.Tally{VMs: 1, Counts: t.dispatcher.Repeats()}
-	t.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) {
-		own.Loads, own.Full, own.Rates = fleet.Loads(), fleet.FullNow(now), fleet.Rates(now)
+	own := tally.Tally{VMs: 1, Counts: t.dispatcher.RetryCounts()}
+	t.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) {
+		own.Loads, own.Full, own.Rates = fleet.PublishUsage(), fleet.FullServers(now), fleet.RateLimits(now)
 	})
 	return own
 }
@@ -161,9 +161,9 @@
 	now := bootclock.Now()
 	if ok {
 		t.heard = now
-		t.dispatcher.HeardOthers(others)
+		t.dispatcher.ApplyTally(others)
 	} else if now-t.heard > sumsKept {
-		t.dispatcher.Fleet(func(_ time.Duration, fleet *backends.Fleet) { fleet.Heard(nil, 0) })
+		t.dispatcher.WithFleet(func(_ time.Duration, fleet *backends.Fleet) { fleet.SetRemoteUsage(nil, 0) })
 	}
 }
 
@@ -209,11 +209,11 @@
 	defer t.mu.Unlock()
 	answer := tally.Tally{}
 	if from := request.Msg.GetDataCentre(); from != "" {
-		t.hub.ReportFar(now, from, said)
-		answer = t.hub.Near(now, "")
+		t.hub.ReportRemote(now, from, said)
+		answer = t.hub.LocalSum(now, "")
 	} else {
 		t.hub.Report(now, request.Msg.GetVm(), said)
-		answer = t.hub.Others(now, request.Msg.GetVm())
+		answer = t.hub.SumExcept(now, request.Msg.GetVm())
 	}
 	proof := t.proof.get()
 	return connect.NewResponse(&tallyv1.TellResponse{
@@ -229,7 +229,7 @@
 	}
 	for id, word := range from.Rates {
 		to.Limited, to.PerSecond = append(to.Limited, id), append(to.PerSecond, word.PerSecond)
-		to.SaidAgeMicros = append(to.SaidAgeMicros, uint64(max(now-word.At, 0).Microseconds()))
+		to.SaidAgeMicros = append(to.SaidAgeMicros, uint64(max(now-word.ObservedAt, 0).Microseconds()))
 	}
 	for id, load := range from.Loads {
 		if units := uint32(load.Memory / loadUnit); units > 0 || load.Running > 0 {
@@ -238,7 +238,7 @@
 		}
 	}
 	for service, count := range from.Counts {
-		to.Counts[service] = &tallyv1.Count{Requests: uint32(count.Requests), Repeats: uint32(count.Repeats)}
+		to.Counts[service] = &tallyv1.Count{Requests: uint32(count.Requests), Repeats: uint32(count.Retries)}
 	}
 	return to
 }
@@ -268,20 +268,20 @@
 		to.Loads[id] = load
 	}
 	for service, count := range from.GetCounts() {
-		to.Counts[service] = budget.Count{Requests: int(count.GetRequests()), Repeats: int(count.GetRepeats())}
+		to.Counts[service] = budget.Count{Requests: int(count.GetRequests()), Retries: int(count.GetRepeats())}
 	}
 	return to
 }
 
 // readRates reads the words on servers' request rates. One that holds no rate is left out.
-func readRates(from *tallyv1.Tally, at time.Duration) map[string]ratelimit.Word {
-	words := make(map[string]ratelimit.Word)
+func readRates(from *tallyv1.Tally, at time.Duration) map[string]ratelimit.Report {
+	words := make(map[string]ratelimit.Report)
 	for i, id := range from.GetLimited() {
 		if i >= min(len(from.GetPerSecond()), len(from.GetSaidAgeMicros())) {
 			break
 		}
 		if perSecond := from.GetPerSecond()[i]; perSecond >= 0 {
-			words[id] = ratelimit.Word{PerSecond: perSecond, At: at - peer.Age(from.GetSaidAgeMicros()[i])}
+			words[id] = ratelimit.Report{PerSecond: perSecond, ObservedAt: at - peer.Age(from.GetSaidAgeMicros()[i])}
 		}
 	}
 	return words
--- a/internal/edge/tally_test.go
+++ b/internal/edge/tally_test.go
@@ -20,7 +20,7 @@
 	g := NewWithT(t)
 	hub := &tallies{self: "vm-1", dataCentre: "a", hub: tally.NewHub("a"), proof: newProofKeeper(), reaches: newReaches()}
 	tell := func(vm, dataCentre string, units float64) tally.Tally {
-		said := tally.Tally{VMs: 1, Loads: map[string]backends.Usage{"s1": {Memory: units * loadUnit, Running: 2}}, Counts: map[string]budget.Count{"llm": {Requests: 4, Repeats: 1}}, Full: map[string]time.Duration{"s9": 400 * time.Millisecond}}
+		said := tally.Tally{VMs: 1, Loads: map[string]backends.Usage{"s1": {Memory: units * loadUnit, Running: 2}}, Counts: map[string]budget.Count{"llm": {Requests: 4, Retries: 1}}, Full: map[string]time.Duration{"s9": 400 * time.Millisecond}}
 		answer, err := hub.Tell(context.Background(), connect.NewRequest(&tallyv1.TellRequest{Vm: vm, DataCentre: dataCentre, Tally: wireTally(said, 0)}))
 		g.Expect(err).NotTo(HaveOccurred())
 		return readTally(answer.Msg.Tally, 0)
@@ -36,7 +36,7 @@
 	heard = tell("vm-2", "", 5)
 	g.Expect(heard.VMs).To(Equal(2))
 	g.Expect(heard.Loads).To(HaveKeyWithValue("s1", backends.Usage{Memory: 107.0 * loadUnit, Running: 4}))
-	g.Expect(heard.Counts).To(HaveKeyWithValue("llm", budget.Count{Requests: 8, Repeats: 2}))
+	g.Expect(heard.Counts).To(HaveKeyWithValue("llm", budget.Count{Requests: 8, Retries: 2}))
 }
 
 func TestATallyThatIsCutShortIsReadAsFarAsItGoes(t *testing.T) {
--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -77,7 +77,7 @@
 			countForeign(first)
 			continue
 		case engine.FrameFault:
-			return attemptResult{outcome: request.Broken, server: onPath(expect, server)}
+			return attemptResult{outcome: request.Interrupted, server: onPath(expect, server)}
 		case engine.FrameFinish:
 			return c.finish(frame)
 		case engine.FrameUnproven:
@@ -88,11 +88,11 @@
 		c.tokens = append(c.tokens, frame.Token.ID)
 		if err := c.answer.token(frame.Token.Text, stream.More()); err != nil {
 			// The caller doesn't take its answer: gone, or too slow.
-			return attemptResult{outcome: request.Broken, final: true}
+			return attemptResult{outcome: request.Interrupted, final: true}
 		}
 		delivered.Add(1)
 		if dispatch.Attempt > 1 && len(c.tokens) == dispatch.FromToken+1 {
-			c.server.loop.Post(core.AttemptFlowing{Request: dispatch.Request, Attempt: dispatch.Attempt})
+			c.server.loop.Post(core.AttemptStreaming{Request: dispatch.Request, Attempt: dispatch.Attempt})
 		}
 	}
 }
@@ -133,7 +133,7 @@
 // it, so it counts as run.
 func streamOutcome(err error) request.Outcome {
 	if errors.Is(err, io.EOF) || errors.Is(err, engine.ErrBadFrame) {
-		return request.Broken
+		return request.Interrupted
 	}
 	return request.Lost
 }
--- a/internal/entry/plain.go
+++ b/internal/entry/plain.go
@@ -134,19 +134,19 @@
 // of the chunks tells the caller that the answer isn't whole.
 func (p *plainCall) stream(ctx context.Context, answer service.Answer, server string) attemptResult {
 	if p.write(answer.Start) != nil {
-		return attemptResult{outcome: request.Broken, final: true}
+		return attemptResult{outcome: request.Interrupted, final: true}
 	}
 	piece := make([]byte, copyBytes)
 	for {
 		n, err := answer.Rest.Read(piece)
 		if n > 0 && p.write(piece[:n]) != nil {
-			return attemptResult{outcome: request.Broken, final: true}
+			return attemptResult{outcome: request.Interrupted, final: true}
 		}
 		if errors.Is(err, io.EOF) {
 			return attemptResult{outcome: request.Completed}
 		}
 		if err != nil {
-			result := brokenAttempt(ctx, request.Broken, server)
+			result := brokenAttempt(ctx, request.Interrupted, server)
 			result.final, result.cut = true, true
 			return result
 		}
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -79,11 +79,11 @@
 				}
 			}
 		case <-ctx.Done():
-			s.loop.Post(core.CallerGone{Request: arrived.Request})
+			s.loop.Post(core.CallerDisconnected{Request: arrived.Request})
 			countGone(arrived)
 			return
 		case <-overdue.C:
-			s.loop.Post(core.CallerGone{Request: arrived.Request})
+			s.loop.Post(core.CallerDisconnected{Request: arrived.Request})
 			s.refuse(ctx, work, problemOverdue(arrived.Request, execution))
 			return
 		case <-s.loop.Done():
@@ -114,7 +114,7 @@
 	}
 	if over {
 		// The core takes back whatever it decides upon the attempt's end.
-		s.loop.Post(core.CallerGone{Request: dispatch.Request})
+		s.loop.Post(core.CallerDisconnected{Request: dispatch.Request})
 	}
 	return over
 }
--- a/internal/entry/starved_test.go
+++ b/internal/entry/starved_test.go
@@ -42,7 +42,7 @@
 				t.Parallel()
 				g := NewWithT(t)
 				clock := schedclock.New()
-				clock.Pulse()
+				clock.Heartbeat()
 				r := newRig(t, func(o *rigOptions) {
 					o.clock = clock
 					o.limits.TokenSilence, o.limits.SilenceFloor, o.limits.ProbeTime = limit, limit, limit
--- a/internal/entry/watch.go
+++ b/internal/entry/watch.go
@@ -133,7 +133,7 @@
 	}
 	if w.overdue != since {
 		w.overdue = since
-		w.pulses = w.server.clock.Pulses()
+		w.pulses = w.server.clock.Heartbeats()
 	}
 	findings := w.server.prober.path(w.path, w.heard)
 	if w.stopped.Load() || w.since.Load() != since {
@@ -141,9 +141,9 @@
 		w.rearm(limit)
 		return
 	}
-	if !w.server.clock.KeptUpSince(w.pulses) {
+	if !w.server.clock.CaughtUpSince(w.pulses) {
 		// What the stream waits for may lie in its socket unread.
-		w.rearm(schedclock.PulseInterval)
+		w.rearm(schedclock.HeartbeatInterval)
 		return
 	}
 	if !w.silent(findings, waited, limit) {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -159,9 +159,9 @@
 func TestAVMInAFormerHistoryIsNotBelieved(t *testing.T) {
 	g := NewWithT(t)
 	log, _ := heard(t)
-	former, err := history.At(1, 900)
+	former, err := history.NewVersion(1, 900)
 	g.Expect(err).NotTo(HaveOccurred())
-	present, err := history.At(2, 5)
+	present, err := history.NewVersion(2, 5)
 	g.Expect(err).NotTo(HaveOccurred())
 	age := uint64(0)
 	follower := mirror.NewFollower(log, mirror.Options{
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -146,7 +146,7 @@
 // act carries out the core's actions. It is called by the core's loop and must not wait.
 func (d *fleetDuty) act(action core.Action) {
 	switch a := action.(type) {
-	case core.SpreadOpinion:
+	case core.PublishOpinion:
 		d.spread(a.Opinion)
 	case core.ProbeServer:
 		d.prober.Now(a.Server)
@@ -157,13 +157,13 @@
 			"after", a.Restart.After, "planned", a.Restart.Planned)
 	case core.ServerLeaving:
 		d.serverLeaving(a)
-	case core.PoisonVerdict:
+	case core.PublishPoisonFinding:
 		d.poison.spread(a.Finding)
-	case core.SpreadSuspicion:
+	case core.PublishSuspicion:
 		d.poison.suspect(a.Finding)
 	case core.ConfirmSuspicion:
 		d.poison.confirm(a.Request)
-	case core.AccountUsageHere:
+	case core.LocalAccountUsage:
 		d.usage.here(a.Accounts)
 	}
 }
@@ -218,10 +218,10 @@
 	}
 }
 
-func (d *fleetDuty) vmJudged(vm fleet.VM) {
+func (d *fleetDuty) vmJudged(vm fleet.VMStatus) {
 	telemetry.VMJudged.Log(d.log, "other", vm.Name, "dataCentre", vm.DataCentre, "state", vm.State)
 	if vm.State == fleet.Gone {
-		d.loop.Post(core.WitnessGone{Witness: vm.Name})
+		d.loop.Post(core.WitnessRemoved{Witness: vm.Name})
 		d.usage.forget(vm.Name)
 		d.held.forget(vm.Name)
 	}
--- a/internal/node/fleet_poison.go
+++ b/internal/node/fleet_poison.go
@@ -108,7 +108,7 @@
 	}
 	age := time.Since(time.UnixMilli(shared.At))
 	shared.Finding.Age = min(max(age, shared.Finding.Age, 0), findingKept)
-	d.loop.Post(core.PoisonLearned{Finding: shared.Finding})
+	d.loop.Post(core.PoisonFindingReceived{Finding: shared.Finding})
 }
 
 // tick withdraws what is old. The VMs that took it forget it by their own rule.
--- a/internal/node/fleet_servers.go
+++ b/internal/node/fleet_servers.go
@@ -55,7 +55,7 @@
 func (d *fleetDuty) shareOut() {
 	live := d.gossip.LiveVMs()
 	for _, name := range d.shareOutAmong(live) {
-		d.loop.Post(core.ServerUnwatched{Server: name})
+		d.loop.Post(core.ServerProbingStopped{Server: name})
 	}
 }
 
@@ -130,7 +130,7 @@
 		telemetry.ServerMisplaced.Log(d.log, "server", name, "address", result.Target.Address, "answers", result.Capabilities.Server)
 	}
 	if result.Err != nil || result.Misplaced {
-		d.loop.Post(core.ServerSilent{Server: name, Witness: d.self, Refused: result.Refused})
+		d.loop.Post(core.ServerProbeFailed{Server: name, Witness: d.self, Refused: result.Refused})
 		return
 	}
 	c := result.Capabilities
--- a/internal/node/fleet_usage.go
+++ b/internal/node/fleet_usage.go
@@ -176,9 +176,9 @@
 }
 
 // event sums what is known of elsewhere, if that changed.
-func (d *usageDuty) event() (core.AccountUsage, bool) {
+func (d *usageDuty) event() (core.RemoteAccountUsage, bool) {
 	if !d.dirty || d.set == nil {
-		return core.AccountUsage{}, false
+		return core.RemoteAccountUsage{}, false
 	}
 	d.dirty = false
 	d.nameAccounts()
@@ -192,7 +192,7 @@
 			}
 		}
 	}
-	event := core.AccountUsage{LiveVMs: d.live}
+	event := core.RemoteAccountUsage{LiveVMs: d.live}
 	for _, account := range slices.Sorted(maps.Keys(sums)) {
 		event.Elsewhere = append(event.Elsewhere, core.AccountRate{Account: account, PerSecond: sums[account]})
 	}
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -77,7 +77,7 @@
 	withdrawn  bool
 	// missing is since when a VM with an object has been missing in the directory.
 	missing map[string]time.Time
-	listed  []fleet.Listed
+	listed  []fleet.PlatformEntry
 	lost    bool
 }
 
@@ -235,9 +235,9 @@
 		telemetry.ListBack.Log(m.log)
 	}
 	m.lost = false
-	listed := make([]fleet.Listed, 0, len(vms))
+	listed := make([]fleet.PlatformEntry, 0, len(vms))
 	for _, vm := range vms {
-		listed = append(listed, fleet.Listed{Name: vm.Name, Leaving: vm.State == platform.VMLeaving})
+		listed = append(listed, fleet.PlatformEntry{Name: vm.Name, Leaving: vm.State == platform.VMLeaving})
 	}
 	if !slices.Equal(listed, m.listed) {
 		m.listed = listed
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -21,7 +21,7 @@
 		case core.Note:
 			p.journal.Add(a)
 			countDecision(a)
-		case core.PoisonVerdict:
+		case core.PublishPoisonFinding:
 			logFinding(p.log, a.Finding)
 		}
 	})
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -53,6 +53,6 @@
 		seen[change.kind] = newest
 		written = append(written, config.Change{Kind: change.kind, Name: change.name, Version: newest, Raw: change.after})
 	}
-	outcome, err := config.Accept(config.Attempt{InForce: inForce, Release: release, Changes: written, Seen: seen, By: checker})
+	outcome, err := config.Accept(config.AcceptInput{InForce: inForce, Release: release, Changes: written, Seen: seen, By: checker})
 	return outcome.Records, err
 }
--- a/internal/peer/gossip/cluster_test.go
+++ b/internal/peer/gossip/cluster_test.go
@@ -83,7 +83,7 @@
 		defer v.mu.Unlock()
 		v.opinions[e.VM+" on "+e.Key] = string(e.Value)
 	})
-	v.OnVM(func(changed fleet.VM) {
+	v.OnVM(func(changed fleet.VMStatus) {
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		v.vms[changed.Name] = changed.State
--- a/internal/peer/gossip/exchange.go
+++ b/internal/peer/gossip/exchange.go
@@ -79,7 +79,7 @@
 // take merges a message and makes what it asks for.
 func (g *Gossip) take(from string, message *membershipv1.Message) *membershipv1.Message {
 	g.mu.Lock()
-	g.vms.Sign(g.options.Now(), from)
+	g.vms.RecordContact(g.options.Now(), from)
 	g.merge(readDeltas(message.GetDeltas()))
 	g.releaseOf(from, message.GetRelease())
 	reply := g.message()
@@ -106,15 +106,15 @@
 		message.Digests = append(message.Digests, d)
 	}
 	for _, dataCentre := range g.store.DataCentres() {
-		message.Digests = append(message.Digests, &membershipv1.Digest{DataCentre: dataCentre, Sum: g.store.Sum(dataCentre), Ask: true})
+		message.Digests = append(message.Digests, &membershipv1.Digest{DataCentre: dataCentre, Sum: g.store.StateHash(dataCentre), Ask: true})
 	}
 	return message
 }
 
 // localDigest leaves the origins out if the VM was last heard with the same set.
 func (g *Gossip) localDigest(vm string) *membershipv1.Digest {
-	d := &membershipv1.Digest{DataCentre: g.self.DataCentre, Local: true, Sum: g.store.Members(g.self.DataCentre)}
-	d.Origins, d.Versions = wireMarks(g.store.Marks(g.self.DataCentre, digest.Local), !g.agreed[vm])
+	d := &membershipv1.Digest{DataCentre: g.self.DataCentre, Local: true, Sum: g.store.OriginsHash(g.self.DataCentre)}
+	d.Origins, d.Versions = wireMarks(g.store.Watermarks(g.self.DataCentre, digest.Local), !g.agreed[vm])
 	return d
 }
 
@@ -126,11 +126,11 @@
 		return
 	}
 	dataCentre := d.GetDataCentre()
-	if d.GetSum() == g.store.Sum(dataCentre) {
+	if d.GetSum() == g.store.StateHash(dataCentre) {
 		return
 	}
 	if d.GetFull() {
-		if marks, ok := readMarks(d, g.store.Marks(dataCentre, digest.State)); ok {
+		if marks, ok := readMarks(d, g.store.Watermarks(dataCentre, digest.State)); ok {
 			reply.Deltas = append(reply.Deltas, wireDeltas(g.store.Deltas(dataCentre, digest.State, marks, messageBudget))...)
 		}
 	}
@@ -145,8 +145,8 @@
 // nothing, and what is sent too little comes with a later exchange.
 func (g *Gossip) stateDigest(vm, dataCentre string, ask bool) *membershipv1.Digest {
 	same := dataCentre == g.self.DataCentre && g.agreed[vm]
-	d := &membershipv1.Digest{DataCentre: dataCentre, Sum: g.store.Sum(dataCentre), Ask: ask, Full: true}
-	d.Origins, d.Versions = wireMarks(g.store.Marks(dataCentre, digest.State), !same)
+	d := &membershipv1.Digest{DataCentre: dataCentre, Sum: g.store.StateHash(dataCentre), Ask: ask, Full: true}
+	d.Origins, d.Versions = wireMarks(g.store.Watermarks(dataCentre, digest.State), !same)
 	return d
 }
 
@@ -175,8 +175,8 @@
 	if d.GetDataCentre() != g.self.DataCentre {
 		return
 	}
-	own := g.store.Marks(g.self.DataCentre, digest.Local)
-	g.agreed[from] = d.GetSum() == g.store.Members(g.self.DataCentre)
+	own := g.store.Watermarks(g.self.DataCentre, digest.Local)
+	g.agreed[from] = d.GetSum() == g.store.OriginsHash(g.self.DataCentre)
 	if !d.GetAsk() && len(d.GetBare()) == 0 && len(d.GetVersions()) == 0 {
 		return
 	}
@@ -185,7 +185,7 @@
 	// that is another, the next exchange brings the origins as well.
 	if marks, ok := readMarks(d, own); ok && (len(d.GetOrigins()) > 0 || g.agreed[from]) {
 		g.takeBeats(d, marks)
-		bare := g.store.Bare(g.self.DataCentre, marks)
+		bare := g.store.HeartbeatOnly(g.self.DataCentre, marks)
 		for i, mark := range own {
 			if _, ok := bare[mark.ID]; ok {
 				answer.Bare = append(answer.Bare, uint32(i))
@@ -203,15 +203,15 @@
 }
 
 // takeBeats takes the versions of origins of which nothing else is new.
-func (g *Gossip) takeBeats(d *membershipv1.Digest, marks []digest.Mark) {
-	var beats []digest.Mark
+func (g *Gossip) takeBeats(d *membershipv1.Digest, marks []digest.Watermark) {
+	var beats []digest.Watermark
 	for _, i := range d.GetBare() {
 		if int(i) < len(marks) {
 			beats = append(beats, marks[i])
 		}
 	}
-	for _, name := range g.store.Beats(beats) {
-		g.vms.Sign(g.options.Now(), name)
+	for _, name := range g.store.ApplyHeartbeats(beats) {
+		g.vms.RecordContact(g.options.Now(), name)
 	}
 }
 
@@ -220,9 +220,9 @@
 	g.mu.Lock()
 	switch {
 	case err == nil:
-		g.vms.Sign(g.options.Now(), vm)
+		g.vms.RecordContact(g.options.Now(), vm)
 	case errors.Is(err, syscall.ECONNREFUSED):
-		g.vms.Refused(vm)
+		g.vms.ConnectionRefused(vm)
 		g.tickVMs()
 	}
 	g.mu.Unlock()
--- a/internal/peer/gossip/fuzz_test.go
+++ b/internal/peer/gossip/fuzz_test.go
@@ -28,7 +28,7 @@
 	}
 	other := newGossip("vm-2")
 	other.PutGauge(7, 3)
-	other.store.Beat()
+	other.store.Heartbeat()
 	hello := other.hello("")
 	full := other.take("vm-3", hello)
 	full.Deltas = wireDeltas(append(other.store.Deltas("bornova", digest.State, nil, messageBudget),
--- a/internal/peer/gossip/gossip.go
+++ b/internal/peer/gossip/gossip.go
@@ -93,7 +93,7 @@
 
 	mu     sync.Mutex
 	store  *digest.Store
-	vms    *fleet.VMs
+	vms    *fleet.VMDetector
 	random *rand.Rand
 	self   peer.Member
 	round  uint64
@@ -137,13 +137,13 @@
 		agreed:  make(map[string]bool),
 		clients: make(map[string]membershipv1connect.MembershipServiceClient),
 		urgent:  make(map[news]int),
-		vms: fleet.NewVMs(fleet.VMOptions{
-			Self:         self.Name,
-			DataCentre:   self.DataCentre,
-			Round:        options.Interval,
-			FarGoneAfter: farGoneRounds * options.Interval,
-			ForgetAfter:  10 * time.Minute,
-			PausedAfter:  3 * options.Interval,
+		vms: fleet.NewVMDetector(fleet.VMDetectorOptions{
+			Self:              self.Name,
+			DataCentre:        self.DataCentre,
+			HeartbeatInterval: options.Interval,
+			RemoteGoneAfter:   farGoneRounds * options.Interval,
+			ForgetAfter:       10 * time.Minute,
+			PausedAfter:       3 * options.Interval,
 		}),
 	}
 	g.putMember()
@@ -244,10 +244,10 @@
 }
 
 // VMs lists the judgements on the other VMs.
-func (g *Gossip) VMs() []fleet.VM {
+func (g *Gossip) VMs() []fleet.VMStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.vms.All()
+	return g.vms.Statuses()
 }
 
 // LiveVMs lists the VMs that watch and probe, by data centre: those that live
@@ -256,7 +256,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	live := map[string][]string{g.self.DataCentre: {g.self.Name}}
-	for _, vm := range g.vms.All() {
+	for _, vm := range g.vms.Statuses() {
 		if vm.State == fleet.Live || vm.State == fleet.Suspect {
 			live[vm.DataCentre] = append(live[vm.DataCentre], vm.Name)
 		}
--- a/internal/peer/gossip/merge.go
+++ b/internal/peer/gossip/merge.go
@@ -15,21 +15,21 @@
 func (g *Gossip) merge(deltas []digest.Delta) {
 	merged := g.store.Merge(deltas)
 	now := g.options.Now()
-	if merged.Rival != 0 {
+	if merged.ConflictingIncarnation != 0 {
 		// An earlier process of this VM had a higher number, as after a clock
 		// was set back. Above it, the others take this one for the newer.
-		g.store.Rebirth(merged.Rival + 1)
+		g.store.SetIncarnation(merged.ConflictingIncarnation + 1)
 	}
 	for _, origin := range merged.Replaced {
 		// What the earlier process said is void, and must be told so.
 		g.options.Directory.Remove(origin.Name)
-		g.announceVM(fleet.VM{Name: origin.Name, DataCentre: origin.DataCentre, State: fleet.Gone, Since: now})
+		g.announceVM(fleet.VMStatus{Name: origin.Name, DataCentre: origin.DataCentre, State: fleet.Gone, Since: now})
 	}
 	for _, origin := range merged.Joined {
-		g.vms.Met(now, origin.Name, origin.DataCentre)
+		g.vms.Add(now, origin.Name, origin.DataCentre)
 	}
-	for _, name := range merged.Beats {
-		g.vms.Sign(now, name)
+	for _, name := range merged.Heartbeats {
+		g.vms.RecordContact(now, name)
 	}
 	for _, change := range merged.Changes {
 		g.mergeChange(change)
@@ -50,12 +50,12 @@
 		g.mergeSummary(change)
 		return
 	}
-	g.vms.Sign(g.options.Now(), vm)
+	g.vms.RecordContact(g.options.Now(), vm)
 	switch {
 	case change.Key == keyMember:
 		g.mergeMember(change)
 	case strings.HasPrefix(change.Key, prefixVM):
-		g.vms.Heard(vm, strings.TrimPrefix(change.Key, prefixVM), len(change.Value) > 0)
+		g.vms.SetDownReport(vm, strings.TrimPrefix(change.Key, prefixVM), len(change.Value) > 0)
 	case change.Key != keyAlive:
 		g.announceEntry(vm, change.Key, change.Value)
 		g.push(news{vm, change.Key})
@@ -67,7 +67,7 @@
 	if !ok {
 		return
 	}
-	g.vms.Leaving(member.Name, member.Leaving, member.State == fleet.Gone)
+	g.vms.SetLeaving(member.Name, member.Leaving, member.State == fleet.Gone)
 	if member.State == fleet.Gone {
 		g.options.Directory.Remove(member.Name)
 		g.tickVMs()
@@ -110,14 +110,14 @@
 	for _, vm := range g.vms.Tick(now) {
 		g.judged(vm)
 	}
-	for _, name := range g.vms.Forgettable(now) {
+	for _, name := range g.vms.RemoveExpired(now) {
 		g.store.Forget(name)
 		delete(g.agreed, name)
 		g.put(prefixVM+name, nil, false)
 	}
 }
 
-func (g *Gossip) judged(vm fleet.VM) {
+func (g *Gossip) judged(vm fleet.VMStatus) {
 	down := vm.State == fleet.Suspect || vm.State == fleet.Gone
 	if vm.DataCentre == g.self.DataCentre && g.watches(vm.Name) {
 		value := []byte{}
@@ -136,7 +136,7 @@
 
 // returned lists a VM again that was gone, and tells its entries anew: when it
 // was counted out its word was dropped.
-func (g *Gossip) returned(vm fleet.VM) {
+func (g *Gossip) returned(vm fleet.VMStatus) {
 	_, listed := g.options.Directory.Member(vm.Name)
 	if listed {
 		g.options.Directory.Change(vm.Name, func(m *peer.Member) { m.State = vm.State })
@@ -159,7 +159,7 @@
 // other data centres.
 func (g *Gossip) watches(name string) bool {
 	live := []string{g.self.Name}
-	for _, vm := range g.vms.All() {
+	for _, vm := range g.vms.Statuses() {
 		if vm.DataCentre == g.self.DataCentre && vm.State == fleet.Live && vm.Name != name {
 			live = append(live, vm.Name)
 		}
--- a/internal/peer/gossip/round.go
+++ b/internal/peer/gossip/round.go
@@ -51,7 +51,7 @@
 func (g *Gossip) beat() (targets []string, contact string) {
 	g.mu.Lock()
 	g.round++
-	g.store.Beat()
+	g.store.Heartbeat()
 	g.tellFar()
 	g.purge()
 	g.tickVMs()
@@ -67,7 +67,7 @@
 // tellFar writes what other data centres are to know of this one's life: that
 // this VM lives, and by one VM of the data centre which releases are in force.
 func (g *Gossip) tellFar() {
-	vms := uint64(len(g.vms.All()))
+	vms := uint64(len(g.vms.Statuses()))
 	if g.round >= g.aliveRound {
 		g.store.Put(keyAlive, putUvarint(g.round))
 		g.aliveRound = g.round + aliveEvery + vms*aliveEach
@@ -91,7 +91,7 @@
 		g.withdrawn = g.withdrawn[1:]
 	}
 	if upto > 0 {
-		g.store.Purge(upto)
+		g.store.PurgeTombstones(upto)
 	}
 }
 
@@ -113,7 +113,7 @@
 // others by data centre.
 func (g *Gossip) callable() (near []string, far map[string][]string) {
 	far = make(map[string][]string)
-	for _, vm := range g.vms.All() {
+	for _, vm := range g.vms.Statuses() {
 		switch {
 		case vm.State == fleet.Gone:
 		case vm.DataCentre == g.self.DataCentre:
@@ -131,7 +131,7 @@
 // after a partition, or with a list that lags, nothing else joins the islands.
 func (g *Gossip) pickContact() string {
 	contacts := slices.DeleteFunc(g.options.Contacts(), func(a string) bool { return a == g.self.Address })
-	for _, vm := range g.vms.All() {
+	for _, vm := range g.vms.Statuses() {
 		if value, ok := g.store.Entry(vm.Name, digest.State, keyMember); ok && vm.State == fleet.Gone {
 			if member, ok := decodeMember(digest.Change{Origin: digest.Origin{Name: vm.Name}, Value: value}); ok && member.State != fleet.Gone {
 				contacts = append(contacts, member.Address)
@@ -210,7 +210,7 @@
 		}
 	}
 	for _, origin := range slices.Sorted(maps.Keys(byOrigin)) {
-		if delta, ok := g.store.Pick(origin, byOrigin[origin]...); ok {
+		if delta, ok := g.store.EntryDelta(origin, byOrigin[origin]...); ok {
 			message.Deltas = append(message.Deltas, wireDelta(delta))
 		}
 	}
--- a/internal/peer/gossip/subscribe.go
+++ b/internal/peer/gossip/subscribe.go
@@ -12,7 +12,7 @@
 type subscribers struct {
 	entries []entrySubscriber
 	gauges  []func(Gauge)
-	vms     []func(fleet.VM)
+	vms     []func(fleet.VMStatus)
 }
 
 type entrySubscriber struct {
@@ -49,7 +49,7 @@
 }
 
 // OnVM subscribes to changes of the judgement on other VMs. Subscribe before Run.
-func (g *Gossip) OnVM(call func(fleet.VM)) {
+func (g *Gossip) OnVM(call func(fleet.VMStatus)) {
 	g.subscribers.vms = append(g.subscribers.vms, call)
 }
 
@@ -83,19 +83,19 @@
 	}
 }
 
-func (g *Gossip) announceGauges(gauges []digest.FreshGauge) {
+func (g *Gossip) announceGauges(gauges []digest.GaugeUpdate) {
 	if len(g.subscribers.gauges) == 0 {
 		return
 	}
 	for _, gauge := range gauges {
-		age := time.Duration(gauge.Beats) * g.options.Interval
+		age := time.Duration(gauge.HeartbeatsAgo) * g.options.Interval
 		for _, call := range g.subscribers.gauges {
 			g.later(func() { call(Gauge{VM: gauge.Witness, Key: gauge.Key, Level: gauge.Level, Age: age}) })
 		}
 	}
 }
 
-func (g *Gossip) announceVM(vm fleet.VM) {
+func (g *Gossip) announceVM(vm fleet.VMStatus) {
 	for _, call := range g.subscribers.vms {
 		g.later(func() { call(vm) })
 	}
--- a/internal/peer/gossip/wire.go
+++ b/internal/peer/gossip/wire.go
@@ -24,7 +24,7 @@
 		After:       delta.After,
 		Span:        delta.Upto - delta.After,
 		Reset_:      delta.Reset,
-		Purged:      delta.Purged,
+		Purged:      delta.PurgedVersion,
 	}
 	for _, entry := range delta.Entries {
 		wire.Entries = append(wire.Entries, &membershipv1.Entry{Key: entry.Key, Value: entry.Value, Version: entry.Version})
@@ -51,12 +51,12 @@
 
 func readDelta(w *membershipv1.Delta) (digest.Delta, bool) {
 	delta := digest.Delta{
-		ID:     digest.ID(w.GetOrigin()),
-		Origin: digest.Origin{Name: w.GetName(), DataCentre: w.GetDataCentre(), Incarnation: w.GetIncarnation()},
-		After:  w.GetAfter(),
-		Upto:   w.GetAfter() + w.GetSpan(),
-		Reset:  w.GetReset_(),
-		Purged: w.GetPurged(),
+		ID:            digest.ID(w.GetOrigin()),
+		Origin:        digest.Origin{Name: w.GetName(), DataCentre: w.GetDataCentre(), Incarnation: w.GetIncarnation()},
+		After:         w.GetAfter(),
+		Upto:          w.GetAfter() + w.GetSpan(),
+		Reset:         w.GetReset_(),
+		PurgedVersion: w.GetPurged(),
 	}
 	if w.GetLocal() {
 		delta.Stream = digest.Local
@@ -78,7 +78,7 @@
 	return delta, true
 }
 
-func wireMarks(marks []digest.Mark, withOrigins bool) (origins, versions []uint64) {
+func wireMarks(marks []digest.Watermark, withOrigins bool) (origins, versions []uint64) {
 	for _, mark := range marks {
 		if withOrigins {
 			origins = append(origins, uint64(mark.ID))
@@ -90,24 +90,24 @@
 
 // readMarks decodes a digest's marks. Without origins the versions are in the
 // order of own, which holds the same set of origins.
-func readMarks(d *membershipv1.Digest, own []digest.Mark) ([]digest.Mark, bool) {
+func readMarks(d *membershipv1.Digest, own []digest.Watermark) ([]digest.Watermark, bool) {
 	origins, versions := d.GetOrigins(), d.GetVersions()
 	if len(origins) == 0 && len(versions) > 0 {
 		if len(versions) != len(own) {
 			return nil, false
 		}
-		marks := make([]digest.Mark, len(own))
+		marks := make([]digest.Watermark, len(own))
 		for i := range own {
-			marks[i] = digest.Mark{ID: own[i].ID, Version: versions[i]}
+			marks[i] = digest.Watermark{ID: own[i].ID, Version: versions[i]}
 		}
 		return marks, true
 	}
 	if len(origins) != len(versions) {
 		return nil, false
 	}
-	marks := make([]digest.Mark, len(origins))
+	marks := make([]digest.Watermark, len(origins))
 	for i := range origins {
-		marks[i] = digest.Mark{ID: digest.ID(origins[i]), Version: versions[i]}
+		marks[i] = digest.Watermark{ID: digest.ID(origins[i]), Version: versions[i]}
 	}
 	return marks, true
 }
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -99,18 +99,18 @@
 		models[name] = place.Model{Layers: spec.Layers, Version: spec.Version}
 	}
 	addresses := make(map[string]string)
-	var records []place.Record
+	var records []place.ServerConfig
 	for _, server := range set.Servers() {
 		if server.Model == "" || server.DataCentre != s.options.DataCentre {
 			continue
 		}
 		addresses[server.Name] = server.Address
-		records = append(records, place.Record{
+		records = append(records, place.ServerConfig{
 			Name:          server.Name,
 			Accelerator:   server.Accelerator,
 			ChecksFencing: server.ChecksFencing,
 			Leaving:       server.Leaving,
-			Want:          place.Holding{Model: server.Model, Version: server.Version, Layers: server.Layers},
+			Desired:       place.Placement{Model: server.Model, Version: server.Version, Layers: server.Layers},
 		})
 	}
 	s.mu.Lock()
@@ -126,9 +126,9 @@
 	switch a := action.(type) {
 	case core.ServerChanged:
 		up := a.Status.State != fleet.Gone && !a.Status.Unreachable
-		s.planner.SetUp(s.now(), a.Status.Server, up)
+		s.planner.SetAvailable(s.now(), a.Status.Server, up)
 	case core.ServerRestarted:
-		s.planner.Restarted(a.Restart.Server)
+		s.planner.HandleRestart(a.Restart.Server)
 	}
 }
 
@@ -222,12 +222,12 @@
 }
 
 func (s *Service) plan(ctx context.Context) {
-	tenure := s.role.Tenure()
+	tenure := s.role.LeaseState()
 	s.mu.Lock()
 	if tenure.Held {
-		s.planner.Hold(tenure.Epoch, tenure.Since, tenure.Until)
+		s.planner.SetLease(tenure.Epoch, tenure.Since, tenure.Until)
 	} else {
-		s.planner.Lose()
+		s.planner.ClearLease()
 	}
 	decision := s.planner.Plan(s.now())
 	if decision.Status != nil {
@@ -264,7 +264,7 @@
 	s.planner.Observe(place.Report{
 		Server:      server,
 		Incarnation: c.Incarnation,
-		Held:        place.Holding{Model: c.Model, Version: c.Version, Layers: c.Layers, Adapters: c.Adapters, Role: string(c.Role)},
+		Current:     place.Placement{Model: c.Model, Version: c.Version, Layers: c.Layers, Adapters: c.Adapters, Role: string(c.Role)},
 		Loading:     c.Loading,
 		Direct:      true,
 		At:          began,
@@ -275,16 +275,16 @@
 // time limit on which the wait of a successor is built.
 func (s *Service) give(ctx context.Context, order place.Order) {
 	address := s.address(order.Server)
-	ctx, cancel := context.WithTimeout(ctx, s.options.LongestOrder)
+	ctx, cancel := context.WithTimeout(ctx, s.options.OrderTimeout)
 	defer cancel()
 	result := place.NotSent
-	if tenure := s.role.Tenure(); tenure.Held && tenure.Epoch == order.Fence {
+	if tenure := s.role.LeaseState(); tenure.Held && tenure.Epoch == order.Fence {
 		result = resultOf(s.engines.Order(ctx, address, engineOrder(order)))
 		telemetry.OrderGiven.Log(s.log, "order", order, "result", result)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.planner.Answered(s.now(), order.ID, result)
+	s.planner.HandleResult(s.now(), order.ID, result)
 }
 
 func engineOrder(order place.Order) engine.Order {
@@ -292,13 +292,13 @@
 		ID:      order.ID,
 		Fence:   order.Fence,
 		Kind:    engine.OrderKind(order.Kind),
-		Model:   order.Holding.Model,
-		Version: order.Holding.Version,
-		Layers:  order.Holding.Layers,
-		Role:    engine.Role(order.Holding.Role),
+		Model:   order.Placement.Model,
+		Version: order.Placement.Version,
+		Layers:  order.Placement.Layers,
+		Role:    engine.Role(order.Placement.Role),
 	}
-	if len(order.Holding.Adapters) > 0 {
-		out.Adapter = slices.Clone(order.Holding.Adapters)[0]
+	if len(order.Placement.Adapters) > 0 {
+		out.Adapter = slices.Clone(order.Placement.Adapters)[0]
 	}
 	return out
 }
@@ -306,9 +306,9 @@
 func resultOf(err error) place.Result {
 	switch {
 	case err == nil:
-		return place.Taken
+		return place.Accepted
 	case errors.Is(err, engine.ErrStaleFence):
-		return place.Stale
+		return place.StaleFence
 	case errors.Is(err, engine.ErrOrderRefused):
 		return place.Refused
 	default:
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -118,7 +118,7 @@
 	late := startEngine(t, "late", new(atomic.Int64))
 	late.Stall()
 	clock := schedclock.New()
-	clock.Pulse()
+	clock.Heartbeat()
 	p, r := run(t, probe.Options{Clock: clock, Interval: 10 * time.Millisecond, Timeout: 50 * time.Millisecond, MaxPerSecond: 1000})
 	p.SetTargets([]probe.Target{{Name: "late", Address: late.Address()}})
 	g.Consistently(r.of("late"), "500ms").Should(HaveField("Err", Succeed()))
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -92,7 +92,7 @@
 	ctx, sent := wire.WatchSentWhile(o.ctx, func() bool { return h.Dispatcher.stillAccepts(o.sentTo) })
 	request := h.serverRequest(ctx, x, o.sentTo)
 	transport := h.pooled
-	if x.route.Repeat == routes.Once {
+	if x.route.Repeat == routes.AtMostOnce {
 		transport = h.fresh
 	}
 	h.countRateLimited(x, o)
@@ -109,8 +109,8 @@
 		return h.handleNoResponse(x, o, sent.Any(), err)
 	}
 	o.response = response
-	head := h.Wire.Answer(response)
-	h.signals.Take(signalsOf(x, o, head))
+	head := h.Wire.ReadResponse(response)
+	h.signals.Apply(signalsOf(x, o, head))
 	h.Dispatcher.recordExecution(o, head)
 	if head.NotRun {
 		o.stopWatchdog()
@@ -162,9 +162,9 @@
 }
 
 // handleNotExecuted classifies an attempt that the servers report as not run.
-func (h *Handler) handleNotExecuted(x *exchange, o *openAttempt, head Answer, elapsed time.Duration) outcome {
+func (h *Handler) handleNotExecuted(x *exchange, o *openAttempt, head ResponseInfo, elapsed time.Duration) outcome {
 	x.refusals++
-	faulty, ok := o.choice.At(head.Blame)
+	faulty, ok := o.choice.ServerAt(head.FaultyAddress)
 	if !ok {
 		faulty = o.choice.First.ID
 	}
@@ -204,7 +204,7 @@
 }
 
 // validateHead returns what is wrong with the head of a response, or "" if it is valid.
-func validateHead(x *exchange, response *http.Response, head Answer) string {
+func validateHead(x *exchange, response *http.Response, head ResponseInfo) string {
 	switch {
 	case head.ID != x.call.ID:
 		return "answer to another request"
@@ -229,15 +229,15 @@
 	}
 	attempt := Attempt{
 		Server: choice.First.Name, Account: x.account.Name, Path: choice.Path,
-		Priority: x.priority(), After: x.call.After,
+		Priority: x.priority(), LastEventID: x.call.LastEventID,
 	}
 	if x.after != "" {
-		attempt.After = x.after
+		attempt.LastEventID = x.after
 	}
-	if x.call.Wait > 0 {
-		attempt.Left = x.remaining()
+	if x.call.Timeout > 0 {
+		attempt.Timeout = x.remaining()
 	}
-	h.Wire.Write(header, attempt)
+	h.Wire.WriteAttempt(header, attempt)
 	request := &http.Request{
 		Method: x.r.Method, URL: &target, Host: x.r.Host, Header: header,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -250,7 +250,7 @@
 }
 
 func (x *exchange) priority() int {
-	if x.account.Ranked {
+	if x.account.HasPriority {
 		return x.account.Priority
 	}
 	return x.route.Priority
--- a/internal/relay/capacity_test.go
+++ b/internal/relay/capacity_test.go
@@ -57,13 +57,13 @@
 
 // smallEngine returns a model of 80 layers on accelerators with capacity for one request.
 func smallEngine() *routes.Engine {
-	return &routes.Engine{Layers: 80, LayerMB: 1, TokenBytes: 1 << 20, Step: time.Millisecond, Prompt: 100, Answer: 10, Cards: map[string]routes.Card{"c": {MB: 250, Pace: 1}}}
+	return &routes.Engine{Layers: 80, LayerMB: 1, TokenBytes: 1 << 20, Step: time.Millisecond, TypicalPrompt: 100, TypicalAnswer: 10, Cards: map[string]routes.Card{"c": {MB: 250, Pace: 1}}}
 }
 
 // newUnconfiguredVM is newSmallVM without a configuration; configure applies the first one.
 func newUnconfiguredVM(t *testing.T, retries budget.Options, servers ...*httptest.Server) (vm *httptest.Server, configure func()) {
 	route := routes.Route{
-		Host: "a.example", Prefix: "/", Repeat: routes.Resumable, Stream: true, Attempts: 2, Target: 600 * time.Millisecond,
+		Host: "a.example", Prefix: "/", Repeat: routes.Resumable, Stream: true, MaxAttempts: 2, TargetLatency: 600 * time.Millisecond,
 		Shares: []routes.Share{{Service: "llm", Weight: 1}},
 	}
 	vm, _, configure = newVM(t, retries, route, routes.Service{Name: "llm", Engine: smallEngine()}, servers...)
@@ -88,15 +88,15 @@
 		}
 		if service.Engine != nil {
 			listed.Card, listed.Slots = "c", 0
-			listed.Holds = []backends.Held{{Layers: api.Layers{From: 0, To: 80}}}
+			listed.LayerRanges = []backends.LayerRange{{Layers: api.Layers{From: 0, To: 80}}}
 		}
 		list = append(list, listed)
 	}
-	d.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Replace(now, list, 1) })
-	d.Members("vm-1", []lease.VM{{Name: "vm-1", DataCentre: "a"}})
+	d.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Replace(now, list, 1) })
+	d.SetMembers("vm-1", []lease.VM{{Name: "vm-1", DataCentre: "a"}})
 	vm = httptest.NewServer(relay.New(relay.Options{
 		Log: logr.Discard(), Wire: wire, Engines: &engines{reportCalls: make(map[string]int)}, Dispatcher: d, DataCentre: "a",
-		Proven: func() bool { return true }, Patience: time.Second,
+		Proven: func() bool { return true }, StallTimeout: time.Second,
 	}))
 	t.Cleanup(vm.Close)
 	return vm, d, func() { d.SetTable(table) }
@@ -161,7 +161,7 @@
 		t.Cleanup(server.Close)
 		servers = append(servers, server)
 	}
-	vm := newSmallVM(t, budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, VMs: 1}, servers...)
+	vm := newSmallVM(t, budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, MinVMs: 1}, servers...)
 	time.AfterFunc(120*time.Millisecond, func() { small.busy.Store(false) })
 	g.Expect(statusOf(g, vm, "r1")).To(Equal(http.StatusOK))
 	g.Expect(small.refused.Load()).To(BeNumerically("<=", 3))
@@ -179,7 +179,7 @@
 	free := httptest.NewServer(&smallServer{})
 	t.Cleanup(free.Close)
 	// The ratio leaves less than one retry for a single request, and one for three.
-	vm := newSmallVM(t, budget.Options{Ratio: 0.5, Window: 10 * time.Second, VMs: 1}, full, free)
+	vm := newSmallVM(t, budget.Options{Ratio: 0.5, Window: 10 * time.Second, MinVMs: 1}, full, free)
 	var callers sync.WaitGroup
 	callers.Go(func() { g.Expect(statusOf(g, vm, "r1")).To(Equal(http.StatusOK), "the refused request") })
 	g.Eventually(small.refused.Load, "5s").Should(BeEquivalentTo(1))
@@ -199,7 +199,7 @@
 	small := &smallServer{takes: 400 * time.Millisecond}
 	server := httptest.NewServer(small)
 	t.Cleanup(server.Close)
-	vm := newSmallVM(t, budget.Options{Ratio: 0.2, Slack: 1, Window: 10 * time.Second, VMs: 1}, server)
+	vm := newSmallVM(t, budget.Options{Ratio: 0.2, Slack: 1, Window: 10 * time.Second, MinVMs: 1}, server)
 
 	var callers sync.WaitGroup
 	statuses := make([]int, 3)
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -49,7 +49,7 @@
 		window := max(resumeWindow-time.Since(x.timing.lastEvent), 0)
 		return waitLimits{path: window, capacity: window}
 	}
-	target := float64(x.route.Target)
+	target := float64(x.route.TargetLatency)
 	maxWait := min(time.Duration(capacityWaitTargets*target), maxCapacityWait)
 	return waitLimits{path: time.Duration(pathWaitShare * target), capacity: max(maxWait-time.Since(x.start), 0)}
 }
@@ -76,12 +76,12 @@
 			x.deferReason = deferralReason(deferral)
 			x.retryIn, tooLate = entry.tooLate(deferral, timeLeft)
 		}
-		if tooLate || request.Force {
+		if tooLate || request.IgnoreCapacity {
 			x.detail = err.Error()
 			return nil, err
 		}
 		if timeLeft <= 0 {
-			request.Force = true
+			request.IgnoreCapacity = true
 			continue
 		}
 		select {
@@ -105,18 +105,18 @@
 }
 
 func (h *Handler) choiceRequest(x *exchange) backends.Request {
-	request := backends.Request{DataCentre: h.DataCentre, Avoid: x.avoid, Prompt: float64(x.call.Prompt), Answer: 1}
+	request := backends.Request{DataCentre: h.DataCentre, Avoid: x.avoid, Prompt: float64(x.call.PromptTokens), Answer: 1}
 	if x.allowed != nil {
-		request.Avoid, request.Only = nil, x.allowed
+		request.Avoid, request.Allowed = nil, x.allowed
 	}
 	if engine := x.service.Engine; engine != nil {
-		request.Answer = float64(engine.Answer)
+		request.Answer = float64(engine.TypicalAnswer)
 	}
-	if x.call.Hint > 0 {
-		request.Answer = float64(x.call.Hint)
+	if x.call.EstimatedTokens > 0 {
+		request.Answer = float64(x.call.EstimatedTokens)
 	}
-	if x.call.Answer > 0 {
-		request.Answer = min(request.Answer, float64(x.call.Answer))
+	if x.call.MaxTokens > 0 {
+		request.Answer = min(request.Answer, float64(x.call.MaxTokens))
 	}
 	return request
 }
--- a/internal/relay/decisions_test.go
+++ b/internal/relay/decisions_test.go
@@ -23,9 +23,9 @@
 // decodedTypes lists by package the types that hold decoded messages of servers, the operator
 // and the settings.
 var decodedTypes = map[string][]string{
-	"internal/relay":             {"Answer", "Report"},
+	"internal/relay":             {"ResponseInfo", "Report"},
 	"internal/core/backpressure": {"Signals"},
-	"internal/core/backends":     {"Server", "Held"},
+	"internal/core/backends":     {"Server", "LayerRange"},
 	"internal/core/routes":       {"Route", "Share", "Service", "Account", "Limits", "Engine", "Card"},
 	"internal/edge":              {"Settings"},
 }
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -48,7 +48,7 @@
 		close(d.configured)
 	}
 	d.table = table
-	d.fleet.Serve(table.ServiceNames())
+	d.fleet.SetServices(table.ServiceNames())
 	return true
 }
 
@@ -75,8 +75,8 @@
 	return d.Table()
 }
 
-// Fleet calls use with the current time and the fleet while holding the lock.
-func (d *Dispatcher) Fleet(use func(now time.Duration, fleet *backends.Fleet)) {
+// WithFleet calls use with the current time and the fleet while holding the lock.
+func (d *Dispatcher) WithFleet(use func(now time.Duration, fleet *backends.Fleet)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	use(d.now(), d.fleet)
@@ -91,8 +91,8 @@
 		return choice, backends.Load{}, err
 	}
 	load := choice.Load(request.Prompt + request.Answer)
-	d.fleet.Begin(load)
-	d.fleet.Sent(d.now(), choice)
+	d.fleet.AddLoad(load)
+	d.fleet.CountSent(d.now(), choice)
 	return choice, load, nil
 }
 
@@ -115,39 +115,39 @@
 func (d *Dispatcher) stillAccepts(choice backends.Choice) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fleet.Wanted(d.now(), choice)
+	return d.fleet.Usable(d.now(), choice)
 }
 
 // recordExecution records that the servers of an attempt run it, unless the response says
 // otherwise.
-func (d *Dispatcher) recordExecution(o *openAttempt, head Answer) {
+func (d *Dispatcher) recordExecution(o *openAttempt, head ResponseInfo) {
 	if head.NotRun {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fleet.Took(d.now(), o.sentAt, o.sentTo)
+	d.fleet.MarkAccepted(d.now(), o.sentAt, o.sentTo)
 }
 
 // moveLoad replaces a request's load by that on its new path.
 func (d *Dispatcher) moveLoad(old, load backends.Load) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fleet.End(old)
-	d.fleet.Begin(load)
+	d.fleet.RemoveLoad(old)
+	d.fleet.AddLoad(load)
 }
 
 func (d *Dispatcher) releaseLoad(load backends.Load) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fleet.End(load)
+	d.fleet.RemoveLoad(load)
 }
 
 // countRequest counts a request for the retry budget.
 func (d *Dispatcher) countRequest(service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget.Request(d.now(), service)
+	d.budget.CountRequest(d.now(), service)
 }
 
 // takeRetry takes one retry from the budget if allowed. share is the part of the budget that
@@ -155,47 +155,47 @@
 func (d *Dispatcher) takeRetry(service string, share float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.budget.Repeat(d.now(), service, share)
+	return d.budget.TakeRetry(d.now(), service, share)
 }
 
-// Live sets the number of live VMs, including this one.
-func (d *Dispatcher) Live(vms int) {
+// SetLiveVMs sets the number of live VMs, including this one.
+func (d *Dispatcher) SetLiveVMs(vms int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget.Live(vms)
-	d.fleet.Live(vms)
+	d.budget.SetLiveVMs(vms)
+	d.fleet.SetLiveVMs(vms)
 }
 
-// Repeats returns this VM's counts of requests and retries, to be shared with the other VMs.
-func (d *Dispatcher) Repeats() map[string]budget.Count {
+// RetryCounts returns this VM's counts of requests and retries, to be shared with the other VMs.
+func (d *Dispatcher) RetryCounts() map[string]budget.Count {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.budget.Counts(d.now())
 }
 
-// Begun reports whether this or another VM received requests within the window of the retry
+// HasRecentRequests reports whether this or another VM received requests within the window of the retry
 // budget.
-func (d *Dispatcher) Begun() bool {
+func (d *Dispatcher) HasRecentRequests() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.budget.Begun(d.now())
+	return d.budget.HasTraffic(d.now())
 }
 
-// HeardOthers applies the sum of the other VMs' counts, loads, full servers and rates.
-func (d *Dispatcher) HeardOthers(others tally.Tally) {
+// ApplyTally applies the sum of the other VMs' counts, loads, full servers and rates.
+func (d *Dispatcher) ApplyTally(others tally.Tally) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget.Heard(d.now(), others.VMs, others.Counts)
-	d.fleet.Heard(others.Loads, others.VMs)
-	d.fleet.HeardFull(d.now(), others.Full, rand.Float64())
-	d.fleet.HeardRates(d.now(), others.Rates)
+	d.budget.SetPeerCounts(d.now(), others.VMs, others.Counts)
+	d.fleet.SetRemoteUsage(others.Loads, others.VMs)
+	d.fleet.MarkRemoteFull(d.now(), others.Full, rand.Float64())
+	d.fleet.SetRemoteRateLimits(d.now(), others.Rates)
 }
 
-// Members sets this VM and all live VMs, which share the servers' request rates.
-func (d *Dispatcher) Members(self string, vms []lease.VM) {
+// SetMembers sets this VM and all live VMs, which share the servers' request rates.
+func (d *Dispatcher) SetMembers(self string, vms []lease.VM) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fleet.Members(d.now(), self, vms)
+	d.fleet.SetMembers(d.now(), self, vms)
 }
 
 // joinRateQueue counts a request as waiting for a server's request rate until leave is called.
@@ -212,11 +212,11 @@
 	}
 }
 
-// Unreached sets the data centres that are currently unreachable.
-func (d *Dispatcher) Unreached(dataCentres []string) {
+// SetUnreachable sets the data centres that are currently unreachable.
+func (d *Dispatcher) SetUnreachable(dataCentres []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fleet.Unreached(d.now(), dataCentres)
+	d.fleet.SetUnreachable(d.now(), dataCentres)
 }
 
 // suspect keeps new requests off a server for span.
@@ -233,7 +233,7 @@
 	defer d.mu.Unlock()
 	d.fleet.Suspect(d.now(), id, suspectUnresponsive)
 	if confirmed {
-		d.fleet.Dark(d.now(), id, suspectUnresponsive)
+		d.fleet.MarkUnresponsive(d.now(), id, suspectUnresponsive)
 	}
 }
 
@@ -261,21 +261,21 @@
 func (d *Dispatcher) slowServersDue() []backends.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.fleet.Slow(d.now(), maxPaceReportAge)
+	return d.fleet.SlowServers(d.now(), maxPaceReportAge)
 }
 
 // markFull records that a server had no capacity.
 func (d *Dispatcher) markFull(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.fleet.Full(d.now(), id)
+	d.fleet.MarkFull(d.now(), id)
 }
 
 // draining reports whether a server is draining and gets no new requests.
 func (d *Dispatcher) draining(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	server, ok := d.fleet.Known(id)
+	server, ok := d.fleet.Server(id)
 	return ok && server.Draining
 }
 
@@ -283,6 +283,6 @@
 func (d *Dispatcher) removed(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, ok := d.fleet.Known(id)
+	_, ok := d.fleet.Server(id)
 	return !ok
 }
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -58,11 +58,11 @@
 	Proven func() bool
 	// DataCentre is the data centre of the VM.
 	DataCentre string
-	// Found, if set, is called with the ID of a server that another server waits for without a
+	// OnUnresponsive, if set, is called with the ID of a server that another server waits for without a
 	// response.
-	Found func(id string)
-	// Patience is how long a stream may be silent before the handler checks its path.
-	Patience time.Duration
+	OnUnresponsive func(id string)
+	// StallTimeout is how long a stream may be silent before the handler checks its path.
+	StallTimeout time.Duration
 }
 
 // Handler serves callers' requests.
@@ -140,7 +140,7 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
-	x := &exchange{w: w, r: r, start: time.Now(), call: h.Wire.Read(r)}
+	x := &exchange{w: w, r: r, start: time.Now(), call: h.Wire.ReadRequest(r)}
 	refused := h.admit(x)
 	if refused == nil {
 		refused = h.readBody(x)
@@ -183,18 +183,18 @@
 	if x.route.Timeout > 0 {
 		limit = x.route.Timeout
 	}
-	if x.call.Wait > 0 {
-		limit = min(limit, x.call.Wait)
+	if x.call.Timeout > 0 {
+		limit = min(limit, x.call.Timeout)
 	}
 	return limit - time.Since(x.start)
 }
 
 // configWait returns how long the request waits for the first configuration.
 func (x *exchange) configWait() time.Duration {
-	if x.call.Wait <= 0 {
+	if x.call.Timeout <= 0 {
 		return maxConfigWait
 	}
-	return min(maxConfigWait, time.Duration(configWaitShare*float64(x.call.Wait)))
+	return min(maxConfigWait, time.Duration(configWaitShare*float64(x.call.Timeout)))
 }
 
 // remaining returns the time until the deadline of the caller or the route.
--- a/internal/relay/late.go
+++ b/internal/relay/late.go
@@ -63,16 +63,16 @@
 // delays.
 func lateCause(x *exchange, choice backends.Choice) string {
 	t := &x.timing
-	firstEventLate := x.route.Target > 0 && t.firstEvent > x.route.Target
-	gapLate := x.route.Gap > 0 && t.longestGap > x.route.Gap
+	firstEventLate := x.route.TargetLatency > 0 && t.firstEvent > x.route.TargetLatency
+	gapLate := x.route.TargetGap > 0 && t.longestGap > x.route.TargetGap
 	switch {
 	case !firstEventLate && !gapLate:
 		return ""
-	case firstEventLate && t.capacityWait > x.route.Target/2:
+	case firstEventLate && t.capacityWait > x.route.TargetLatency/2:
 		return lateCapacity
-	case firstEventLate && x.sends == 1 && choice.Queues():
+	case firstEventLate && x.sends == 1 && choice.WaitsForSlot():
 		return lateSlot
-	case gapLate && t.longestWrite > x.route.Gap/2:
+	case gapLate && t.longestWrite > x.route.TargetGap/2:
 		return lateCaller
 	case x.sends > 1:
 		return lateRetry
@@ -98,6 +98,6 @@
 	t := &x.timing
 	telemetry.RelayLate.Log(h.Log, append(x.logFields(), "cause", cause, "firstMs", t.firstEvent.Milliseconds(),
 		"roomMs", t.capacityWait.Milliseconds(), "gapMs", t.longestGap.Milliseconds(), "writeMs", t.longestWrite.Milliseconds(),
-		"moves", t.moves.Load(), "server", o.choice.First.ID, "taken", o.choice.Taken, "slots", o.choice.First.Slots,
+		"moves", t.moves.Load(), "server", o.choice.First.ID, "taken", o.choice.RequestsOnFirst, "slots", o.choice.First.Slots,
 		"path", o.choice.Path.String())...)
 }
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -25,7 +25,7 @@
 	if q.dequeue == nil {
 		ahead, q.dequeue = q.h.Dispatcher.joinRateQueue(q.service)
 	}
-	due, known := deferral.Due(ahead)
+	due, known := deferral.RetryAfter(ahead)
 	return due, known && due > timeLeft
 }
 
@@ -57,7 +57,7 @@
 // countRateLimited counts an attempt on a server that sets a request rate.
 func (h *Handler) countRateLimited(x *exchange, o *openAttempt) {
 	var limited bool
-	h.Dispatcher.Fleet(func(_ time.Duration, fleet *backends.Fleet) { limited = fleet.Limited(o.sentTo.First.ID) })
+	h.Dispatcher.WithFleet(func(_ time.Duration, fleet *backends.Fleet) { limited = fleet.HasRateLimit(o.sentTo.First.ID) })
 	if limited {
 		metrics.GetOrCreateCounter(fmt.Sprintf("oleandershunt_relay_limited_attempts_total{kind=%q}", x.attemptKind())).Inc()
 	}
--- a/internal/relay/limits_test.go
+++ b/internal/relay/limits_test.go
@@ -29,7 +29,7 @@
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 	}))
 	t.Cleanup(server.Close)
-	vm := newSmallVM(t, budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, VMs: 1}, server)
+	vm := newSmallVM(t, budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, MinVMs: 1}, server)
 	g.Expect(statusOf(g, vm, "first")).To(Equal(http.StatusOK))
 
 	var callers sync.WaitGroup
@@ -78,7 +78,7 @@
 // Guards against a request that a server refused being reported as rate-limited.
 func TestRequestQueuedForARateReportsTheServersRefusal(t *testing.T) {
 	g := NewWithT(t)
-	vm, sent := newVMWithRefusingServer(t, g, budget.Options{Window: 10 * time.Second, VMs: 1})
+	vm, sent := newVMWithRefusingServer(t, g, budget.Options{Window: 10 * time.Second, MinVMs: 1})
 	var callers sync.WaitGroup
 	var refused atomic.Int32
 	for i := range 6 {
@@ -96,7 +96,7 @@
 // Guards against a refusal without a rate ending the limit that its server set.
 func TestARefusalDoesNotEndARateLimit(t *testing.T) {
 	g := NewWithT(t)
-	vm, sent := newVMWithRefusingServer(t, g, budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, VMs: 1})
+	vm, sent := newVMWithRefusingServer(t, g, budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, MinVMs: 1})
 	start := time.Now()
 	var callers sync.WaitGroup
 	for i := range 8 {
--- a/internal/relay/move.go
+++ b/internal/relay/move.go
@@ -29,7 +29,7 @@
 		defer cancel()
 		var signals backpressure.Signals
 		signals, err = w.h.Engines.Repath(ctx, choice.First.Address, choice.First.Name, w.x.call.ID, choice.Path)
-		w.h.signals.Take(Said{Server: choice.First.ID, Request: w.x.call.ID, Signals: signals})
+		w.h.signals.Apply(ServerSignals{Server: choice.First.ID, Request: w.x.call.ID, Signals: signals})
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,13 +43,13 @@
 		}
 		return
 	}
-	choice.Taken = w.o.choice.Taken
+	choice.RequestsOnFirst = w.o.choice.RequestsOnFirst
 	load := choice.Load(w.request.Prompt + w.request.Answer)
 	w.h.Dispatcher.moveLoad(w.o.load, load)
 	w.o.choice, w.o.load = choice, load
 	w.x.timing.moves.Add(1)
 	w.lastActivity = time.Now()
-	w.timer.Reset(w.h.Patience)
+	w.timer.Reset(w.h.StallTimeout)
 	telemetry.RelayMoved.Log(w.h.Log, "request", w.x.call.ID, "blamed", faulty, "path", choice.Path.String())
 }
 
@@ -77,7 +77,7 @@
 	}
 	request := w.request
 	request.Avoid = avoid
-	request.Keep, request.Force, request.Version = &current.Path[0], true, current.Version
+	request.FixedFirst, request.IgnoreCapacity, request.Version = &current.Path[0], true, current.Version
 	return w.h.Dispatcher.preview(w.x.service, request)
 }
 
@@ -113,6 +113,6 @@
 		w.waitLogged = true
 		telemetry.RelayWaits.Log(w.h.Log, "request", w.x.call.ID, "first", first, "sends", w.sends, "cause", telemetry.Cause(err))
 	}
-	w.resetTimerLocked(w.h.Patience / 2)
+	w.resetTimerLocked(w.h.StallTimeout / 2)
 	return false
 }
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -15,7 +15,7 @@
 
 // servePlain serves a request whose response is a single body.
 func (h *Handler) servePlain(x *exchange) {
-	wait := waitLimits{path: time.Duration(pathWaitShare * float64(x.route.Target))}
+	wait := waitLimits{path: time.Duration(pathWaitShare * float64(x.route.TargetLatency))}
 	reason := ReasonNoServer
 	for {
 		o, err := h.choose(x, wait)
--- a/internal/relay/poison.go
+++ b/internal/relay/poison.go
@@ -85,7 +85,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	level := s.table.Level(bootclock.Now(), body)
-	if level == poison.Condemned || level == poison.Isolate && s.running[body] > 0 {
+	if level == poison.Blocked || level == poison.Isolate && s.running[body] > 0 {
 		return false
 	}
 	s.running[body]++
@@ -109,7 +109,7 @@
 func (s *poisonSuspects) retryAllowed(body poison.Body) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.table.Crashes(bootclock.Now(), body) < maxLosses
+	return s.table.CrashCount(bootclock.Now(), body) < maxLosses
 }
 
 // recordLoss records that the connection to a server broke while the request was running.
@@ -118,9 +118,9 @@
 	defer s.mu.Unlock()
 	now := bootclock.Now()
 	loss := poison.Loss{Server: server.Address, Incarnation: processID(server.ID), Body: body, Progress: events, Sent: sent}
-	if s.table.Lost(now, loss) {
+	if s.table.RecordLoss(now, loss) {
 		s.queueFinding(poison.Finding{
-			Body: body, Crashes: s.table.Crashes(now, body), Suspected: true,
+			Body: body, Crashes: s.table.CrashCount(now, body), Unproven: true,
 			Server: server.Address, Incarnation: loss.Incarnation, At: now,
 		})
 	}
@@ -136,19 +136,19 @@
 func (s *poisonSuspects) recordConnectionRefused(server backends.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Refused(bootclock.Now(), server.Address)
+	s.table.ConnectionRefused(bootclock.Now(), server.Address)
 }
 
-// Registered records the process at a server's address. A process other than the previous one
+// ObserveProcess records the process at a server's address. A process other than the previous one
 // proves that the previous one has ended.
-func (h *Handler) Registered(server backends.Server) {
+func (h *Handler) ObserveProcess(server backends.Server) {
 	h.suspects.mu.Lock()
 	defer h.suspects.mu.Unlock()
-	h.suspects.table.Seen(bootclock.Now(), 0, server.Address, processID(server.ID))
+	h.suspects.table.RecordProbedIncarnation(bootclock.Now(), 0, server.Address, processID(server.ID))
 }
 
-// RunPoison evaluates crashes until ctx ends.
-func (h *Handler) RunPoison(ctx context.Context) error {
+// RunPoisonDetection evaluates crashes until ctx ends.
+func (h *Handler) RunPoisonDetection(ctx context.Context) error {
 	ticker := time.NewTicker(evaluateInterval)
 	defer ticker.Stop()
 	for {
@@ -156,7 +156,7 @@
 		case <-ticker.C:
 			for _, finding := range h.suspects.evaluate() {
 				telemetry.RelayPoison.Log(h.Log, "account", finding.Account, "path", finding.Pipeline, "hash", finding.Hash,
-					"crashes", finding.Crashes, "server", finding.Server, "condemned", finding.Condemned)
+					"crashes", finding.Crashes, "server", finding.Server, "condemned", finding.Blocked)
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -170,24 +170,24 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var reportable []poison.Finding
-	for _, finding := range s.table.Judge(bootclock.Now()) {
+	for _, finding := range s.table.Evaluate(bootclock.Now()) {
 		s.queueFinding(finding)
-		if finding.Crashes > 1 || finding.Condemned {
+		if finding.Crashes > 1 || finding.Blocked {
 			reportable = append(reportable, finding)
 		}
 	}
 	return reportable
 }
 
-// Findings returns the findings since the last call, for the other VMs.
-func (h *Handler) Findings() []Finding {
+// TakeFindings returns the findings since the last call, for the other VMs.
+func (h *Handler) TakeFindings() []Finding {
 	h.suspects.mu.Lock()
 	defer h.suspects.mu.Unlock()
 	now := bootclock.Now()
 	var list []Finding
 	for _, f := range h.suspects.pendingFindings {
 		list = append(list, Finding{
-			Account: f.Account, Path: f.Pipeline, Hash: f.Hash, Crashes: f.Crashes, Condemned: f.Condemned, Suspected: f.Suspected,
+			Account: f.Account, Path: f.Pipeline, Hash: f.Hash, Crashes: f.Crashes, Condemned: f.Blocked, Suspected: f.Unproven,
 			Server: f.Server, Process: f.Incarnation, AgeMS: (now - f.At).Milliseconds(),
 		})
 	}
@@ -195,14 +195,14 @@
 	return list
 }
 
-// HeardFinding applies another VM's finding.
-func (h *Handler) HeardFinding(f Finding) {
+// ReceiveFinding applies another VM's finding.
+func (h *Handler) ReceiveFinding(f Finding) {
 	h.suspects.mu.Lock()
 	defer h.suspects.mu.Unlock()
 	now := bootclock.Now()
-	h.suspects.table.Learn(now, poison.Finding{
+	h.suspects.table.MergeFinding(now, poison.Finding{
 		Body:    poison.Body{Account: f.Account, Pipeline: f.Path, Hash: f.Hash},
-		Crashes: f.Crashes, Condemned: f.Condemned, Suspected: f.Suspected,
+		Crashes: f.Crashes, Blocked: f.Condemned, Unproven: f.Suspected,
 		Server: f.Server, Incarnation: f.Process, At: now - time.Duration(f.AgeMS)*time.Millisecond,
 	})
 }
@@ -212,7 +212,7 @@
 func (s *poisonSuspects) clear(body poison.Body) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.table.Cleared(body)
+	s.table.ClearSuspicionAndLosses(body)
 }
 
 // recordBrokenConnection records an attempt whose connection broke after it was sent. A
--- a/internal/relay/poison_test.go
+++ b/internal/relay/poison_test.go
@@ -43,14 +43,14 @@
 		t.Cleanup(server.Close)
 		r.addresses = append(r.addresses, strings.TrimPrefix(server.URL, "http://"))
 	}
-	route := routes.Route{Host: "a.example", Prefix: "/", Repeat: routes.Freely, Attempts: 2, Shares: []routes.Share{{Service: "app", Weight: 1}}}
+	route := routes.Route{Host: "a.example", Prefix: "/", Repeat: routes.Repeatable, MaxAttempts: 2, Shares: []routes.Share{{Service: "app", Weight: 1}}}
 	for range 2 {
-		d := relay.NewDispatcher(bootclock.Now, budget.New(budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, VMs: 1}))
+		d := relay.NewDispatcher(bootclock.Now, budget.New(budget.Options{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, MinVMs: 1}))
 		d.SetTable(routes.New(1, routes.Limits{}, []routes.Route{route}, []routes.Service{{Name: "app"}}, nil))
 		handler := relay.New(relay.Options{
 			Log: logr.Discard(), Wire: platform.Requests{}, Dispatcher: d, DataCentre: "a", Proven: func() bool { return true },
 		})
-		go func() { r.Expect(handler.RunPoison(t.Context())).To(MatchError(t.Context().Err())) }()
+		go func() { r.Expect(handler.RunPoisonDetection(t.Context())).To(MatchError(t.Context().Err())) }()
 		server := httptest.NewServer(handler)
 		t.Cleanup(server.Close)
 		r.vms, r.urls = append(r.vms, handler), append(r.urls, server.URL)
@@ -73,12 +73,12 @@
 		list = append(list, backends.Server{ID: fmt.Sprintf("s%d-%d", i, r.processes[i]), Service: "app", Address: address, DataCentre: "a", Slots: 4})
 	}
 	for i, vm := range r.vms {
-		vm.Dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Replace(now, list, 1) })
+		vm.Dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Replace(now, list, 1) })
 		for _, server := range list {
-			vm.Registered(server)
+			vm.ObserveProcess(server)
 		}
-		for _, finding := range vm.Findings() {
-			r.vms[1-i].HeardFinding(finding)
+		for _, finding := range vm.TakeFindings() {
+			r.vms[1-i].ReceiveFinding(finding)
 		}
 	}
 }
