--- a/internal/relay/repeat.go
+++ b/internal/relay/repeat.go
@@ -37,13 +37,13 @@
 	}
 	reserved := x.retryReserved
 	x.retryReserved = false
-	if x.route.Repeat == routes.Once || !h.mayRunAgain(x, x.sends) {
+	if x.route.Repeat == routes.AtMostOnce || !h.mayRunAgain(x, x.sends) {
 		return false
 	}
 	x.allowed = nil
 	if !h.mayRunElsewhere(x, x.ranOn) {
 		// It may not run on further servers, but those that ran it may run it again.
-		if x.route.Repeat != routes.Freely {
+		if x.route.Repeat != routes.Repeatable {
 			return false
 		}
 		x.allowed = x.ranOn
@@ -132,7 +132,7 @@
 
 // mayRunElsewhere reports whether a request that ran on the given servers may run on one more.
 func (h *Handler) mayRunElsewhere(x *exchange, ran []string) bool {
-	return h.countKnown(ran) < max(x.route.Attempts, 1)
+	return h.countKnown(ran) < max(x.route.MaxAttempts, 1)
 }
 
 // countKnown counts the servers that are still known.
--- a/internal/relay/reports.go
+++ b/internal/relay/reports.go
@@ -98,17 +98,17 @@
 
 func (h *Handler) refreshPace(id, address string) {
 	report, err := h.reports.get(context.Background(), address, maxPaceReportAge)
-	h.signals.Take(Said{Server: id, Signals: report.Signals})
+	h.signals.Apply(ServerSignals{Server: id, Signals: report.Signals})
 	if err != nil {
 		// Unresponsive servers are found by the streams that stall on them.
 		return
 	}
-	h.Dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Paced(now, id, report.Pace) })
+	h.Dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.SetPace(now, id, report.Pace) })
 }
 
-// RunPaces refetches the paces of slow servers until ctx ends, so that they get requests again
+// RunPaceRefresh refetches the paces of slow servers until ctx ends, so that they get requests again
 // as soon as they have recovered.
-func (h *Handler) RunPaces(ctx context.Context) error {
+func (h *Handler) RunPaceRefresh(ctx context.Context) error {
 	ticker := time.NewTicker(maxPaceReportAge / 2)
 	defer ticker.Stop()
 	for {
--- a/internal/relay/signals.go
+++ b/internal/relay/signals.go
@@ -33,8 +33,8 @@
 	return &Signals{log: log, dispatcher: dispatcher, logLimiter: rate.NewLimiter(signalLogsPerSecond, signalLogBurst)}
 }
 
-// Said is what a server asked for in one response.
-type Said struct {
+// ServerSignals is what a server asked for in one response.
+type ServerSignals struct {
 	// Server is the ID of the server that responded, and Faulty that of the server which it
 	// reports as faulty; empty for itself.
 	Server, Faulty string
@@ -48,12 +48,12 @@
 }
 
 // signalsOf returns the signals in the head of an attempt's response.
-func signalsOf(x *exchange, o *openAttempt, head Answer) Said {
-	received := Said{
+func signalsOf(x *exchange, o *openAttempt, head ResponseInfo) ServerSignals {
+	received := ServerSignals{
 		Server: o.sentTo.First.ID, Request: x.call.ID, Signals: head.Signals,
 		Signed: !head.NotRun && validateHead(x, o.response, head) == "", SentAt: o.sentAt,
 	}
-	received.Faulty, _ = o.sentTo.At(head.Blame)
+	received.Faulty, _ = o.sentTo.ServerAt(head.FaultyAddress)
 	if o.response.StatusCode == http.StatusMisdirectedRequest {
 		// If another process responds, the server that was meant is gone.
 		received.Signals = backpressure.Signals{Leaving: head.Signals.Leaving}
@@ -61,8 +61,8 @@
 	return received
 }
 
-// Take applies what a server asked for.
-func (s *Signals) Take(received Said) {
+// Apply applies what a server asked for.
+func (s *Signals) Apply(received ServerSignals) {
 	s.applyRate(received)
 	s.applyPause(received)
 	s.applyLeaving(received)
@@ -70,7 +70,7 @@
 
 // applyRate applies the rate that a server set. Only a valid signed response ends a limit:
 // refusals, broken responses and reports need not repeat it.
-func (s *Signals) applyRate(received Said) {
+func (s *Signals) applyRate(received ServerSignals) {
 	perSecond := received.Signals.Rate()
 	if perSecond == ratelimit.Unlimited && !received.Signed {
 		return
@@ -80,8 +80,8 @@
 		return
 	}
 	var changed bool
-	s.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) {
-		changed = fleet.SaidRate(now, received.SentAt, received.Server, perSecond)
+	s.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) {
+		changed = fleet.SetRateLimit(now, received.SentAt, received.Server, perSecond)
 	})
 	switch {
 	case !changed:
@@ -94,17 +94,17 @@
 
 // applyPause applies the pause that a server asked for, to the server that responded and to the
 // faulty one if it names another.
-func (s *Signals) applyPause(received Said) {
+func (s *Signals) applyPause(received ServerSignals) {
 	pause := received.Signals.Pause
 	switch pause {
 	case 0:
 		return
-	case backpressure.Unread:
+	case backpressure.InvalidPause:
 		s.logEvent(telemetry.PauseUnread, received)
 		return
 	}
 	var changed bool
-	s.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) {
+	s.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) {
 		changed = fleet.Pause(now, received.Server, pause)
 		if received.Faulty != "" && received.Faulty != received.Server {
 			fleet.Pause(now, received.Faulty, pause)
@@ -116,19 +116,19 @@
 }
 
 // applyLeaving applies a server's announcement that it leaves.
-func (s *Signals) applyLeaving(received Said) {
+func (s *Signals) applyLeaving(received ServerSignals) {
 	if !received.Signals.Leaving {
 		return
 	}
 	var changed bool
-	s.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { changed = fleet.SaysLeaving(now, received.Server) })
+	s.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { changed = fleet.MarkLeaving(now, received.Server) })
 	if changed {
 		s.logEvent(telemetry.LeavingSaid, received)
 	}
 }
 
 // logEvent logs a change that a server asked for.
-func (s *Signals) logEvent(event telemetry.Event, received Said, fields ...any) {
+func (s *Signals) logEvent(event telemetry.Event, received ServerSignals, fields ...any) {
 	if s.logLimiter.Allow() {
 		event.Log(s.log, append([]any{"server", received.Server, "request", received.Request}, fields...)...)
 	}
--- a/internal/relay/signals_test.go
+++ b/internal/relay/signals_test.go
@@ -73,21 +73,21 @@
 
 // signalRoutes returns a route for each kind of request.
 func signalRoutes() map[string]routes.Route {
-	route := func(repeat routes.Repeat, stream bool) routes.Route {
+	route := func(repeat routes.RepeatPolicy, stream bool) routes.Route {
 		return routes.Route{
-			Host: "a.example", Prefix: "/", Repeat: repeat, Stream: stream, Attempts: 3, Target: 300 * time.Millisecond,
+			Host: "a.example", Prefix: "/", Repeat: repeat, Stream: stream, MaxAttempts: 3, TargetLatency: 300 * time.Millisecond,
 			Shares: []routes.Share{{Service: "llm", Weight: 1}},
 		}
 	}
 	return map[string]routes.Route{
-		"safe": route(routes.Freely, false), "unsafe": route(routes.Once, false),
-		"stream that may be resumed": route(routes.Resumable, true), "stream": route(routes.Once, true),
+		"safe": route(routes.Repeatable, false), "unsafe": route(routes.AtMostOnce, false),
+		"stream that may be resumed": route(routes.Resumable, true), "stream": route(routes.AtMostOnce, true),
 	}
 }
 
 // newSignalVM starts a VM before servers of a route's service.
 func newSignalVM(t *testing.T, route routes.Route, servers ...*httptest.Server) *httptest.Server {
-	vm, _, configure := newVM(t, budget.Options{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second, VMs: 1}, route, serviceOf(route), servers...)
+	vm, _, configure := newVM(t, budget.Options{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second, MinVMs: 1}, route, serviceOf(route), servers...)
 	configure()
 	return vm
 }
@@ -189,9 +189,9 @@
 	between func(attempt relay.Attempt)
 }
 
-func (w hookedWire) Write(header http.Header, attempt relay.Attempt) {
+func (w hookedWire) WriteAttempt(header http.Header, attempt relay.Attempt) {
 	w.between(attempt)
-	w.Requests.Write(header, attempt)
+	w.Requests.WriteAttempt(header, attempt)
 }
 
 // Guards against sending a request to a server that asked for a pause or announced that it
@@ -199,7 +199,7 @@
 func TestAnAttemptOnAPausedOrLeavingServerIsWithheld(t *testing.T) {
 	signals := map[string]func(now time.Duration, fleet *backends.Fleet){
 		"pause":   func(now time.Duration, fleet *backends.Fleet) { fleet.Pause(now, "s1", time.Minute) },
-		"leaving": func(now time.Duration, fleet *backends.Fleet) { fleet.SaysLeaving(now, "s1") },
+		"leaving": func(now time.Duration, fleet *backends.Fleet) { fleet.MarkLeaving(now, "s1") },
 	}
 	for signal, apply := range signals {
 		for kind, route := range signalRoutes() {
@@ -209,10 +209,10 @@
 				var d *relay.Dispatcher
 				wire := hookedWire{between: func(attempt relay.Attempt) {
 					if attempt.Server == "s1" {
-						d.Fleet(apply)
+						d.WithFleet(apply)
 					}
 				}}
-				vm, dispatcher, configure := newVMWithWire(t, wire, budget.Options{Window: 10 * time.Second, VMs: 1}, route, serviceOf(route), unavailable.start(t), free.start(t))
+				vm, dispatcher, configure := newVMWithWire(t, wire, budget.Options{Window: 10 * time.Second, MinVMs: 1}, route, serviceOf(route), unavailable.start(t), free.start(t))
 				d = dispatcher
 				configure()
 				g.Expect(statuses(load(g, vm, 20, 300*time.Millisecond))).To(Equal(map[int]int{http.StatusOK: 6}), "withheld attempts take no retry")
@@ -227,7 +227,7 @@
 func TestALeavingServerCountsTowardsTheAttempts(t *testing.T) {
 	g := NewWithT(t)
 	route := signalRoutes()["safe"]
-	route.Attempts = 2
+	route.MaxAttempts = 2
 	var servers []*httptest.Server
 	var ran atomic.Int32
 	for range 4 {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -108,7 +108,7 @@
 func (h *Handler) handleStreamFailure(x *exchange, o *openAttempt, started bool) (outcome, bool) {
 	body, err := io.ReadAll(io.LimitReader(o.response.Body, maxBufferedResponse))
 	o.stopWatchdog()
-	if x.route.Repeat != routes.Once && h.mayRunElsewhere(x, append(x.ranOn, o.choice.First.ID)) || started || err != nil {
+	if x.route.Repeat != routes.AtMostOnce && h.mayRunElsewhere(x, append(x.ranOn, o.choice.First.ID)) || started || err != nil {
 		h.logFailedResponse(x, o, err)
 		x.recordFailure(o.choice)
 		return uncertain, false
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -78,11 +78,11 @@
 // and the lock, the list of servers to avoid is corrupted by a data race, or a timer that fires
 // at once finds no timer to reset and the stream is never checked again.
 func (h *Handler) startWatchdog(x *exchange, o *openAttempt) {
-	if x.route.Repeat != routes.Resumable || x.service.Engine == nil || h.Patience <= 0 {
+	if x.route.Repeat != routes.Resumable || x.service.Engine == nil || h.StallTimeout <= 0 {
 		return
 	}
 	w := &watchdog{h: h, x: x, o: o, lastActivity: time.Now(), request: h.choiceRequest(x), ranOn: slices.Clone(x.ranOn), sends: x.sends + 1}
-	w.request.Avoid, w.request.Only = slices.Clone(x.avoid), nil
+	w.request.Avoid, w.request.Allowed = slices.Clone(x.avoid), nil
 	o.watchdog = w
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -90,10 +90,10 @@
 	h.watchdogs.add(w)
 }
 
-// Lost records that a server doesn't respond, as found by this VM or another one, and moves all
+// MarkUnresponsive records that a server doesn't respond, as found by this VM or another one, and moves all
 // streams on it at once: waiting for each stream's own stall would add that time to each of
 // them. confirmed says that another server found it unresponsive, not only this VM.
-func (h *Handler) Lost(id string, confirmed bool) {
+func (h *Handler) MarkUnresponsive(id string, confirmed bool) {
 	h.Dispatcher.markUnresponsive(id, confirmed)
 	for _, w := range h.watchdogs.list() {
 		if w.uses(id) {
@@ -109,10 +109,10 @@
 // firstEventTimeout returns how long to wait for the first event before checking the path: half
 // of the target, so that there is time left to react.
 func (h *Handler) firstEventTimeout(x *exchange) time.Duration {
-	if x.route.Target <= 0 {
-		return h.Patience
+	if x.route.TargetLatency <= 0 {
+		return h.StallTimeout
 	}
-	return min(h.Patience, time.Duration(firstEventShare*float64(x.route.Target)))
+	return min(h.StallTimeout, time.Duration(firstEventShare*float64(x.route.TargetLatency)))
 }
 
 func (w *watchdog) uses(id string) bool {
@@ -125,7 +125,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lastActivity = time.Now()
-	w.resetTimerLocked(w.h.Patience)
+	w.resetTimerLocked(w.h.StallTimeout)
 }
 
 func (w *watchdog) resetTimer(delay time.Duration) {
@@ -162,7 +162,7 @@
 	first, path := w.o.choice.First, w.o.choice.Path
 	w.mu.Unlock()
 	report, err := w.h.reports.get(w.o.ctx, first.Address, maxStallReportAge)
-	w.h.signals.Take(Said{Server: first.ID, Request: w.x.call.ID, Signals: report.Signals})
+	w.h.signals.Apply(ServerSignals{Server: first.ID, Request: w.x.call.ID, Signals: report.Signals})
 	if w.o.ctx.Err() != nil {
 		return
 	}
@@ -176,16 +176,16 @@
 	}
 	if !ok {
 		w.h.refreshPaces(path)
-		w.resetTimer(w.h.Patience / 2)
+		w.resetTimer(w.h.StallTimeout / 2)
 		return
 	}
 	telemetry.RelayStalled.Log(w.h.Log, "request", w.x.call.ID, "first", first.ID, "blamed", faulty, "cause", telemetry.Cause(err))
-	if err == nil && w.h.Found != nil {
+	if err == nil && w.h.OnUnresponsive != nil {
 		// Only what a server reports is shared with other VMs: a failed connection of this VM
 		// may be caused by its own network.
-		w.h.Found(faulty)
+		w.h.OnUnresponsive(faulty)
 	}
-	w.h.Lost(faulty, err == nil)
+	w.h.MarkUnresponsive(faulty, err == nil)
 }
 
 // responseLostTimeout is the silence after which a response counts as lost if its request waits
@@ -204,7 +204,7 @@
 func (w *watchdog) responseLost(report Report) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	wait := float64(min(responseLostTimeout, 2*w.h.Patience)) * w.h.Dispatcher.maxPace(w.o.choice.Path)
+	wait := float64(min(responseLostTimeout, 2*w.h.StallTimeout)) * w.h.Dispatcher.maxPace(w.o.choice.Path)
 	return report.Queued == 0 && time.Since(w.lastActivity) >= time.Duration(wait)
 }
 
@@ -229,5 +229,5 @@
 	if !stalled {
 		return "", false
 	}
-	return w.o.choice.At(address)
+	return w.o.choice.ServerAt(address)
 }
--- a/internal/relay/watch_test.go
+++ b/internal/relay/watch_test.go
@@ -100,11 +100,11 @@
 // is checked.
 func newRigWith(t *testing.T, retries float64, patience time.Duration) *rig {
 	r := &rig{WithT: NewWithT(t), engines: &engines{moved: make(chan chain.Path, 8), reportCalls: make(map[string]int)}, unresponsive: make(chan string, 8), proceed: make(chan struct{})}
-	engine := &routes.Engine{Layers: 80, LayerMB: 1750, TokenBytes: 918_000, Step: time.Millisecond, Prompt: 100, Answer: 10, Cards: map[string]routes.Card{"c": {MB: 100_000, Pace: 1}}}
-	route := routes.Route{Host: "a.example", Prefix: "/", Repeat: routes.Resumable, Stream: true, Attempts: 2, Shares: []routes.Share{{Service: "llm", Weight: 1}}}
+	engine := &routes.Engine{Layers: 80, LayerMB: 1750, TokenBytes: 918_000, Step: time.Millisecond, TypicalPrompt: 100, TypicalAnswer: 10, Cards: map[string]routes.Card{"c": {MB: 100_000, Pace: 1}}}
+	route := routes.Route{Host: "a.example", Prefix: "/", Repeat: routes.Resumable, Stream: true, MaxAttempts: 2, Shares: []routes.Share{{Service: "llm", Weight: 1}}}
 	start := time.Now()
 	d := relay.NewDispatcher(func() time.Duration { return time.Since(start) + time.Second },
-		budget.New(budget.Options{Ratio: 0.2, Slack: retries, Window: 10 * time.Second, VMs: 1}))
+		budget.New(budget.Options{Ratio: 0.2, Slack: retries, Window: 10 * time.Second, MinVMs: 1}))
 	d.SetTable(routes.New(1, routes.Limits{}, []routes.Route{route}, []routes.Service{{Name: "llm", Engine: engine}}, nil))
 	var list []backends.Server
 	for i, from := range []int{0, 0, 40, 40} {
@@ -112,17 +112,17 @@
 		t.Cleanup(server.Close)
 		list = append(list, backends.Server{
 			ID: fmt.Sprint("s", i+1), Service: "llm", Address: strings.TrimPrefix(server.URL, "http://"), DataCentre: "a", Card: "c",
-			Holds: []backends.Held{{Layers: api.Layers{From: from, To: from + 40}}},
+			LayerRanges: []backends.LayerRange{{Layers: api.Layers{From: from, To: from + 40}}},
 		})
 	}
-	d.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Replace(now, list, 1) })
+	d.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Replace(now, list, 1) })
 	r.dispatcher, r.servers = d, list
 	r.engines.stalled = list[2].Address
 	// Before the first event a slow machine looks like an unresponsive server.
 	r.engines.healthy.Store(true)
 	handler := relay.New(relay.Options{
 		Log: funcr.New(r.observeLog, funcr.Options{}), Wire: platform.Requests{}, Engines: r.engines, Dispatcher: d, DataCentre: "a",
-		Proven: func() bool { return true }, Found: r.recordUnresponsive, Patience: patience,
+		Proven: func() bool { return true }, OnUnresponsive: r.recordUnresponsive, StallTimeout: patience,
 	})
 	vm := httptest.NewServer(handler)
 	t.Cleanup(vm.Close)
@@ -302,14 +302,14 @@
 func TestAStreamIsResumedOnceAPathExists(t *testing.T) {
 	r := newRig(t)
 	r.engines.refuse = true
-	r.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Remove(now, "s4", 2) })
+	r.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Remove(now, "s4", 2) })
 	done := make(chan string, 1)
 	go func() { done <- r.call() }()
 	r.Eventually(r.unresponsive, "5s").Should(Receive(Equal("s3")))
 	r.Consistently(done, "400ms").ShouldNot(Receive())
 	restarted := r.servers[3]
 	restarted.Revision = 3
-	r.dispatcher.Fleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Put(now, restarted) })
+	r.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Put(now, restarted) })
 	r.Eventually(done, "5s").Should(Receive(Equal(completeBody)))
 	r.Expect(r.runs).To(Equal([]string{"", "1"}))
 }
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -20,19 +20,19 @@
 	ID string
 	// Key is the caller's API key. Empty if it has none.
 	Key string
-	// Wait is the caller's timeout. 0 if it sets none.
-	Wait time.Duration
-	// Prompt, Answer and Hint are lengths in tokens of a request to a model: the prompt, the
+	// Timeout is the caller's timeout. 0 if it sets none.
+	Timeout time.Duration
+	// PromptTokens, MaxTokens and EstimatedTokens are lengths in tokens of a request to a model: the prompt, the
 	// maximum of the response, and the caller's own estimate of the response.
-	Prompt, Answer, Hint int
-	// After is the ID of the last event that the caller has received. Empty for all events.
-	After string
+	PromptTokens, MaxTokens, EstimatedTokens int
+	// LastEventID is the ID of the last event that the caller has received. Empty for all events.
+	LastEventID string
 }
 
 // Attempt holds the headers that are added to a request for a backend server.
 type Attempt struct {
-	// Left is the remaining time of the caller. 0 if it set no timeout.
-	Left time.Duration
+	// Timeout is the remaining time of the caller. 0 if it set no timeout.
+	Timeout time.Duration
 	// Server is the name of the server process that must take the request.
 	Server string
 	// Account is the client account. Empty if the request had no key.
@@ -41,39 +41,39 @@
 	Path chain.Path
 	// Priority is 0 for the most urgent requests.
 	Priority int
-	// After is the ID of the last delivered event. Empty for all events.
-	After string
+	// LastEventID is the ID of the last delivered event. Empty for all events.
+	LastEventID string
 }
 
-// Answer holds the head of a backend server's response.
-type Answer struct {
+// ResponseInfo holds the head of a backend server's response.
+type ResponseInfo struct {
 	// ID is the ID of the request that it responds to.
 	ID string
 	// NotRun says that the server did not run the request and won't.
 	NotRun bool
 	// Signed says that the response carries the server's seal.
 	Signed bool
-	// Blame is the address of the faulty server on the path. Empty if it is the first one, or
+	// FaultyAddress is the address of the faulty server on the path. Empty if it is the first one, or
 	// unknown.
-	Blame string
+	FaultyAddress string
 	// Signals are what the server asks of this VM, regardless of the request's outcome.
 	Signals backpressure.Signals
 }
 
 // Wire translates between HTTP headers and the types of this package. It makes no decisions.
 type Wire interface {
-	// Read reads the head of a caller's request.
-	Read(*http.Request) Call
-	// Write adds the headers of an attempt to those of the caller.
-	Write(http.Header, Attempt)
-	// Answer reads the head of a backend server's response.
-	Answer(*http.Response) Answer
+	// ReadRequest reads the head of a caller's request.
+	ReadRequest(*http.Request) Call
+	// WriteAttempt adds the headers of an attempt to those of the caller.
+	WriteAttempt(http.Header, Attempt)
+	// ReadResponse reads the head of a backend server's response.
+	ReadResponse(*http.Response) ResponseInfo
 }
 
 // Report is the status that a model server reports.
 type Report struct {
-	// Orders is the number of orders that the server has accepted since it started.
-	Orders uint64
+	// OrderCount is the number of orders that the server has accepted since it started.
+	OrderCount uint64
 	// Started is when the server process started, in Unix milliseconds. 0 if unknown.
 	Started uint64
 	// Busy says that an order is in progress.
@@ -94,9 +94,9 @@
 
 // Order instructs a model server which layers to load.
 type Order struct {
-	// Orders is the number of orders that the server must have accepted so far.
-	Orders uint64
-	Layers api.Layers
+	// ExpectedOrderCount is the number of orders that the server must have accepted so far.
+	ExpectedOrderCount uint64
+	Layers             api.Layers
 }
 
 // Engines is the control interface of model servers. Its methods return the server's signals
--- a/internal/role/role.go
+++ b/internal/role/role.go
@@ -30,15 +30,15 @@
 	// Interval is the time between two renewals, and between two checks of the lease
 	// by a candidate.
 	Interval time.Duration
-	// Seldom is the time between two checks by a VM that isn't a candidate. Such VMs
+	// BackgroundInterval is the time between two checks by a VM that isn't a candidate. Such VMs
 	// check too because their view of the live VMs may differ from the candidates'.
 	// 0 means that they don't check.
-	Seldom time.Duration
-	// SeldomPerVM is added to Seldom for each VM that may hold the role, so that the total
+	BackgroundInterval time.Duration
+	// BackgroundIntervalPerVM is added to BackgroundInterval for each VM that may hold the role, so that the total
 	// rate of checks does not grow with the number of VMs.
-	SeldomPerVM time.Duration
-	// Retry is the time from a failed check to the next one. 0 means Interval.
-	Retry time.Duration
+	BackgroundIntervalPerVM time.Duration
+	// RetryInterval is the time from a failed check to the next one. 0 means Interval.
+	RetryInterval time.Duration
 }
 
 // Options are the settings and dependencies of a Role.
@@ -54,10 +54,10 @@
 	// Now returns the VM's monotonic time. It includes time in which the VM was
 	// suspended, if the VM can be suspended.
 	Now func() time.Duration
-	// Ask, when set, queries the holder for the version of the lease that it holds. The
+	// QueryHolder, when set, queries the holder for the version of the lease that it holds. The
 	// platform is read only if the holder does not confirm that it holds the role, so
 	// that checks of a held role cost no calls of the platform.
-	Ask func(ctx context.Context, role string, holder lease.VM) (version history.Version, held bool)
+	QueryHolder func(ctx context.Context, role string, holder lease.VM) (version history.Version, held bool)
 }
 
 // record is the value of the lease's object. Every renewal creates a new version of it.
@@ -81,12 +81,12 @@
 	notCandidate bool
 
 	mu    sync.Mutex
-	state Tenure
+	state LeaseState
 }
 
-// Tenure is one period in which this VM holds the role. Epoch increases with each
+// LeaseState is one period in which this VM holds the role. Epoch increases with each
 // acquisition of the role by any VM.
-type Tenure struct {
+type LeaseState struct {
 	Held         bool
 	Epoch        uint64
 	Since, Until time.Duration
@@ -97,10 +97,10 @@
 // New returns a Role that this VM does not hold yet.
 func New(options Options) *Role { return &Role{Options: options} }
 
-// Tenure returns the current state, in which Held is false once the lease has expired.
+// LeaseState returns the current state, in which Held is false once the lease has expired.
 // Callers must check it immediately before each action. Otherwise a VM that was paused
 // past the end of its lease would act concurrently with its successor.
-func (r *Role) Tenure() Tenure {
+func (r *Role) LeaseState() LeaseState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	current := r.state
@@ -109,7 +109,7 @@
 }
 
 // Held reports whether this VM holds the role now.
-func (r *Role) Held() bool { return r.Tenure().Held }
+func (r *Role) Held() bool { return r.LeaseState().Held }
 
 // Step renews the lease, or acquires it when it is free and this VM is next in rank.
 // It returns at once when nothing is due. vms are the VMs that may hold the role.
@@ -125,11 +125,11 @@
 	}
 	position := lease.Position(lease.Rank(r.Name, r.Self.DataCentre, vms), r.Self.Name)
 	if position < 0 || position >= r.Candidates {
-		if r.Times.Seldom == 0 {
+		if r.Times.BackgroundInterval == 0 {
 			return
 		}
 		position = r.Candidates
-		r.nextStep = now + r.Times.Seldom + time.Duration(len(vms))*r.Times.SeldomPerVM
+		r.nextStep = now + r.Times.BackgroundInterval + time.Duration(len(vms))*r.Times.BackgroundIntervalPerVM
 		if !r.notCandidate {
 			// Only the candidates check at startup. When all VMs start at once, checks
 			// by the others as well would be too many reads of the platform.
@@ -139,23 +139,23 @@
 	} else {
 		r.notCandidate = false
 	}
-	if !r.checkLease(ctx, now, position) && r.Times.Retry > 0 {
-		r.nextStep = now + r.Times.Retry
+	if !r.checkLease(ctx, now, position) && r.Times.RetryInterval > 0 {
+		r.nextStep = now + r.Times.RetryInterval
 	}
 }
 
 func (r *Role) renew(ctx context.Context, now time.Duration) {
-	held := r.Tenure()
+	held := r.LeaseState()
 	object, err := r.Store.Update(ctx, r.Kind, r.Name, held.Version, record{Holder: r.Self, Epoch: held.Epoch})
 	switch {
 	case err == nil:
-		r.updateState(func(t *Tenure) { t.Version, t.Until = object.Version, now+r.Times.Lease })
+		r.updateState(func(t *LeaseState) { t.Version, t.Until = object.Version, now+r.Times.Lease })
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrNotFound):
-		r.updateState(func(t *Tenure) { t.Held = false })
+		r.updateState(func(t *LeaseState) { t.Held = false })
 	}
 }
 
-func (r *Role) updateState(change func(*Tenure)) {
+func (r *Role) updateState(change func(*LeaseState)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.state)
@@ -169,7 +169,7 @@
 	}
 	object, err := r.Store.Get(ctx, r.Kind, r.Name)
 	if errors.Is(err, platform.ErrNotFound) {
-		if position == 0 || r.Times.Seldom > 0 {
+		if position == 0 || r.Times.BackgroundInterval > 0 {
 			r.acquire(now, 1, func(next record) (platform.Object, error) {
 				return r.Store.Create(ctx, r.Kind, r.Name, next)
 			})
@@ -177,7 +177,7 @@
 		return true
 	}
 	var seen record
-	if err != nil || json.Unmarshal(object.Value, &seen) != nil || !lease.Plausible(r.Tenure().Epoch, seen.Epoch) {
+	if err != nil || json.Unmarshal(object.Value, &seen) != nil || !lease.Plausible(r.LeaseState().Epoch, seen.Epoch) {
 		r.observer.Failed()
 		return err == nil
 	}
@@ -194,10 +194,10 @@
 // holderConfirms reports whether the holder itself confirms that it holds the role. If
 // so, it counts as a read of the lease.
 func (r *Role) holderConfirms(ctx context.Context, now time.Duration) bool {
-	if r.Ask == nil || r.lastHolder.Name == "" || r.lastHolder.Name == r.Self.Name {
+	if r.QueryHolder == nil || r.lastHolder.Name == "" || r.lastHolder.Name == r.Self.Name {
 		return false
 	}
-	version, held := r.Ask(ctx, r.Name, r.lastHolder)
+	version, held := r.QueryHolder(ctx, r.Name, r.lastHolder)
 	if held {
 		r.observer.Read(now, uint64(version))
 	}
@@ -222,18 +222,18 @@
 		r.observer.Failed()
 		return
 	}
-	r.updateState(func(t *Tenure) {
-		*t = Tenure{Held: true, Epoch: epoch, Since: r.Now(), Until: now + r.Times.Lease, Version: object.Version}
+	r.updateState(func(t *LeaseState) {
+		*t = LeaseState{Held: true, Epoch: epoch, Since: r.Now(), Until: now + r.Times.Lease, Version: object.Version}
 	})
 }
 
 // Release gives up the role, so that a successor need not wait for the lease to expire.
 func (r *Role) Release(ctx context.Context) {
-	held := r.Tenure()
+	held := r.LeaseState()
 	if !held.Held {
 		return
 	}
-	r.updateState(func(t *Tenure) { t.Held = false })
+	r.updateState(func(t *LeaseState) { t.Held = false })
 	// If the write fails, the successor waits for the lease to expire.
 	_, _ = r.Store.Update(ctx, r.Kind, r.Name, held.Version, record{Holder: r.Self, Epoch: held.Epoch, Released: true})
 }
--- a/internal/role/role_test.go
+++ b/internal/role/role_test.go
@@ -105,13 +105,13 @@
 	g := NewWithT(t)
 	p := newPair()
 	g.Expect(p.advance(4 * time.Second)).To(Equal([]int{0}))
-	first := p.roles[0].Tenure()
+	first := p.roles[0].LeaseState()
 	for p.now < first.Until {
 		g.Expect(p.advance(roleInterval, 0)).NotTo(ContainElement(1), "the lease has not expired")
 	}
 	g.Expect(p.advance(leaseTime+2*roleInterval, 0)).To(Equal([]int{1}))
 	g.Expect(p.advance(4*time.Second)).To(Equal([]int{1}), "the resumed holder reads a new version and gives up the role")
-	g.Expect(p.roles[1].Tenure().Epoch).To(Equal(first.Epoch + 1))
+	g.Expect(p.roles[1].LeaseState().Epoch).To(Equal(first.Epoch + 1))
 }
 
 // Guards against treating a lease that could not be renewed as given up: during an outage
@@ -134,13 +134,13 @@
 	g := NewWithT(t)
 	p := newPair()
 	g.Expect(p.advance(4 * time.Second)).To(Equal([]int{0}))
-	before := p.roles[0].Tenure()
+	before := p.roles[0].LeaseState()
 	old := p.roles[0]
 	options := old.Options
 	options.Self.Incarnation = "2"
 	p.roles[0] = New(options)
 	g.Expect(p.advance(roleInterval)).To(Equal([]int{0}))
-	g.Expect(p.roles[0].Tenure().Epoch).To(Equal(before.Epoch + 1))
+	g.Expect(p.roles[0].LeaseState().Epoch).To(Equal(before.Epoch + 1))
 	// If the old process were still running, its next renewal would show that it lost the role.
 	old.Step(context.Background(), p.vms)
 	g.Expect(old.Held()).To(BeFalse())
@@ -178,10 +178,10 @@
 	unresponsive, reads := false, 0
 	counted := &readCounter{fakeStore: p.store, reads: &reads}
 	other.Store = counted
-	other.Ask = func(_ context.Context, role string, vm lease.VM) (history.Version, bool) {
+	other.QueryHolder = func(_ context.Context, role string, vm lease.VM) (history.Version, bool) {
 		g.Expect(role).To(Equal(holder.Name))
 		g.Expect(vm.Name).To(Equal(holder.Self.Name))
-		tenure := holder.Tenure()
+		tenure := holder.LeaseState()
 		return tenure.Version, tenure.Held && !unresponsive
 	}
 	for range 10 {
@@ -225,7 +225,7 @@
 	reads := 0
 	nonCandidate := New(Options{
 		Store: &readCounter{fakeStore: p.store, reads: &reads}, Kind: "Lease", Name: "placement-bornova", Self: ranked[39], Candidates: 2,
-		Times: Times{Lease: leaseTime, Interval: roleInterval, Seldom: 7 * time.Second, SeldomPerVM: 500 * time.Millisecond},
+		Times: Times{Lease: leaseTime, Interval: roleInterval, BackgroundInterval: 7 * time.Second, BackgroundIntervalPerVM: 500 * time.Millisecond},
 		Now:   func() time.Duration { return p.now },
 	})
 	nonCandidate.Step(context.Background(), vms)
@@ -243,12 +243,12 @@
 	g := NewWithT(t)
 	p := newPair()
 	g.Expect(p.advance(4 * time.Second)).To(Equal([]int{0}))
-	next, err := history.At(1, 1)
+	next, err := history.NewVersion(1, 1)
 	g.Expect(err).NotTo(HaveOccurred())
 	p.store.exists, p.store.version, p.store.object = false, next, platform.Object{}
 	p.advance(roleInterval)
 	g.Expect(p.roles[1].Held()).To(BeFalse())
 	g.Expect(p.advance(2 * roleInterval)).To(Equal([]int{0}))
 	g.Expect(p.store.object.Version.History()).To(BeEquivalentTo(1))
-	g.Expect(p.roles[0].Tenure().Version).To(Equal(p.store.object.Version))
+	g.Expect(p.roles[0].LeaseState().Version).To(Equal(p.store.object.Version))
 }
--- a/internal/schedclock/clock.go
+++ b/internal/schedclock/clock.go
@@ -17,13 +17,13 @@
 	"time"
 )
 
-// PulseInterval is the time from the end of one heartbeat to the start of the next.
-const PulseInterval = 20 * time.Millisecond
+// HeartbeatInterval is the time from the end of one heartbeat to the start of the next.
+const HeartbeatInterval = 20 * time.Millisecond
 
 const (
 	// maxAdvance is the most that the clock advances between two heartbeats. Receiving
 	// a response from a backend server takes several wake-ups of this process, each as
-	// late as a heartbeat, so the margin above PulseInterval is kept small.
+	// late as a heartbeat, so the margin above HeartbeatInterval is kept small.
 	maxAdvance = 25 * time.Millisecond
 	// requiredHeartbeats is how many heartbeats prove that all data that had arrived
 	// before has been read. The first may have been in flight already.
@@ -74,9 +74,9 @@
 	return s.clock + elapsed
 }
 
-// Pulse records a heartbeat: the process has just kept up with its sockets. From the
+// Heartbeat records a heartbeat: the process has just kept up with its sockets. From the
 // first heartbeat on, the clock stops when no other follows.
-func (c *Clock) Pulse() { c.set(true) }
+func (c *Clock) Heartbeat() { c.set(true) }
 
 func (c *Clock) set(bounded bool) {
 	wall := time.Since(c.start)
@@ -84,17 +84,17 @@
 	c.last.Store(&snapshot{wall: wall, clock: last.now(wall), heartbeats: last.heartbeats + 1, bounded: bounded})
 }
 
-// Pulses returns the number of heartbeats so far.
-func (c *Clock) Pulses() uint64 {
+// Heartbeats returns the number of heartbeats so far.
+func (c *Clock) Heartbeats() uint64 {
 	if c == nil {
 		return 0
 	}
 	return c.last.Load().heartbeats
 }
 
-// KeptUpSince reports whether the process has read its sockets since Pulses returned
+// CaughtUpSince reports whether the process has read its sockets since Heartbeats returned
 // the given number of heartbeats.
-func (c *Clock) KeptUpSince(heartbeats uint64) bool {
+func (c *Clock) CaughtUpSince(heartbeats uint64) bool {
 	if c == nil {
 		return true
 	}
@@ -124,8 +124,8 @@
 				return err
 			}
 		case <-received:
-			c.Pulse()
-			timer.Reset(PulseInterval)
+			c.Heartbeat()
+			timer.Reset(HeartbeatInterval)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/schedclock/clock_test.go
+++ b/internal/schedclock/clock_test.go
@@ -18,7 +18,7 @@
 func TestClockStopsWhileTheProcessIsStarved(t *testing.T) {
 	g := NewWithT(t)
 	c := schedclock.New()
-	c.Pulse()
+	c.Heartbeat()
 	stopped := c.Now()
 	ctx, cancel := c.WithTimeout(t.Context(), 2*maxOvershoot)
 	defer cancel()
@@ -27,7 +27,7 @@
 	for range 5 {
 		// A heartbeat after a pause does not add the rest of the pause.
 		time.Sleep(maxOvershoot)
-		c.Pulse()
+		c.Heartbeat()
 	}
 	g.Expect(c.Now() - stopped).To(BeNumerically("<=", 6*maxOvershoot))
 	g.Eventually(ctx.Done()).Should(BeClosed())
--- a/internal/soak/planted_test.go
+++ b/internal/soak/planted_test.go
@@ -29,7 +29,7 @@
 	}, "wrong answer"},
 	{testutil.Defect{
 		Name: "repeated without proof", File: "internal/relay/repeat.go",
-		Old: "if x.route.Repeat == routes.Once || !h.mayRunAgain", Bad: "if !h.mayRunAgain",
+		Old: "if x.route.Repeat == routes.AtMostOnce || !h.mayRunAgain", Bad: "if !h.mayRunAgain",
 	}, "ran twice"},
 	{testutil.Defect{
 		Name: "not run told of what may have run", File: "internal/relay/attempt.go",
@@ -50,7 +50,7 @@
 	}, "configuration late"},
 	{testutil.Defect{
 		Name: "request rates of servers left out", File: "internal/core/ratelimit/shares.go",
-		Old: "	return known.bucket != nil && known.bucket.TokensAt(moment(now)) >= 1", Bad: "	return true",
+		Old: "	return known.bucket != nil && known.bucket.TokensAt(toTime(now)) >= 1", Bad: "	return true",
 	}, "server beyond its rate"},
 	{testutil.Defect{
 		Name: "pauses of servers left out", File: "platform/requests.go",
--- a/internal/trace/observe.go
+++ b/internal/trace/observe.go
@@ -19,7 +19,7 @@
 		r.all = append(r.all, run)
 	case core.AttemptEnded:
 		r.attemptEnded(at, vm, e)
-	case core.CallerGone:
+	case core.CallerDisconnected:
 		if run := r.requests[requestKey{vm, e.Request}]; run != nil && run.answer == "" {
 			run.answer, run.last = AnswerGone, at
 		}
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -175,19 +175,19 @@
 func stateKey(vm string, event core.Event) string {
 	name := vm + "/" + event.EventName()
 	switch e := event.(type) {
-	case core.RequestArrived, core.AttemptEnded, core.CallerGone, core.ClaimDecided, core.Tick, core.FleetTick:
+	case core.RequestArrived, core.AttemptEnded, core.CallerDisconnected, core.ClaimDecided, core.Tick, core.FleetTick:
 		return ""
 	case core.ServerObserved:
 		return name + "/" + e.Server + "/" + e.Witness
-	case core.ServerSilent:
+	case core.ServerProbeFailed:
 		return name + "/" + e.Server + "/" + e.Witness
-	case core.ServerUnwatched:
+	case core.ServerProbingStopped:
 		return name + "/" + e.Server
 	case core.ServerOpinion:
 		return name + "/" + e.Opinion.Server + "/" + e.Witness
-	case core.WitnessGone:
+	case core.WitnessRemoved:
 		return name + "/" + e.Witness
-	case core.PoisonLearned:
+	case core.PoisonFindingReceived:
 		return fmt.Sprintf("%s/%s/%s/%x", name, e.Finding.Account, e.Finding.Pipeline, e.Finding.BodyHash)
 	default:
 		return name
--- a/internal/trace/scenarios_test.go
+++ b/internal/trace/scenarios_test.go
@@ -264,7 +264,7 @@
 			p.saleVerdict, p.againReason, p.againRan = core.VerdictMayHaveRun, request.ReasonKeyMayHaveRun, request.MayHaveRun
 		},
 		mid: func(p *play) {
-			p.loseStream(request.Broken, 1)
+			p.loseStream(request.Interrupted, 1)
 			p.lateFrame(formerAttempt)
 			p.frame(vmA, streamID, func(f *engine.Frame) { f.Token.Index-- })
 			p.bad++
@@ -403,11 +403,11 @@
 			for crash := range 2 {
 				server := p.dispatched(vmB, "poison").Path[0].Server
 				p.ended(vmB, "poison", request.Lost, server)
-				p.event(vmB, core.ServerSilent{Server: server, Witness: vmB, Refused: true})
+				p.event(vmB, core.ServerProbeFailed{Server: server, Witness: vmB, Refused: true})
 				p.at(p.now + 200*ms)
 				p.event(vmB, core.ServerObserved{Server: server, Incarnation: uint64(crash + 2), Model: p.d.model, Version: p.d.version, Layers: api.Layers{From: 0, To: p.d.layers / 2}, Witness: vmB})
 			}
-			p.event(vmA, core.PoisonLearned{Finding: core.PoisonFinding{Account: p.d.account, Pipeline: p.d.pipeline, BodyHash: 666, Crashes: 2, Condemned: true}})
+			p.event(vmA, core.PoisonFindingReceived{Finding: core.PoisonFinding{Account: p.d.account, Pipeline: p.d.pipeline, BodyHash: 666, Crashes: 2, Condemned: true}})
 			p.arrive(vmA, "poison-again", body)
 			p.extra = append(p.extra, refused(vmB, "poison", 2, request.ReasonPoison, request.Ran),
 				refused(vmA, "poison-again", 0, request.ReasonPoison, request.Ran))
@@ -428,7 +428,7 @@
 		mid: func(p *play) {
 			for _, n := range []string{"1", "2", "3", "4"} {
 				for range 3 {
-					p.event(vmB, core.ServerSilent{Server: p.d.dataCentres[0] + "-" + n, Witness: vmB})
+					p.event(vmB, core.ServerProbeFailed{Server: p.d.dataCentres[0] + "-" + n, Witness: vmB})
 				}
 			}
 			p.arrive(vmB, "apart", p.pipeline)
@@ -455,7 +455,7 @@
 		mid: func(p *play) {
 			server := p.d.service + "-1"
 			p.event(vmB, core.ServerObserved{Server: server, Incarnation: 1, Leaving: true, Witness: vmB})
-			p.event(vmB, core.PlatformListed{Servers: []fleet.Listed{{Name: server}}})
+			p.event(vmB, core.PlatformListed{Servers: []fleet.PlatformEntry{{Name: server}}})
 			p.event(vmB, core.VMsCounted{Live: 4})
 		},
 	}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -80,7 +80,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	tap.Step(1, core.ConfigInForce{Set: set}, nil)
 	for i := range 10_000 {
-		tap.Step(core.Time(i), core.CallerGone{Request: "r"}, nil)
+		tap.Step(core.Time(i), core.CallerDisconnected{Request: "r"}, nil)
 		tap.Step(core.Time(i), core.ServerObserved{Server: "a", Witness: "vm-1", Running: i}, nil)
 	}
 	var out bytes.Buffer
