--- a/internal/core/route/types.go
+++ b/internal/core/route/types.go
@@ -125,7 +125,7 @@
 	// Priority above 0 samples more candidate paths, so that urgent requests get
 	// less loaded servers.
 	Priority int
-	// Deadline is when the answer must be complete, on the VM's clock, and Tokens
+	// Deadline is when the answer must be complete, on the VM's clock, and RemainingTokens
 	// is the number of tokens still to be generated. 0 if unknown.
 	Deadline        time.Duration
 	RemainingTokens int
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -237,7 +237,7 @@
 	if x.call.Timeout > 0 {
 		attempt.Timeout = x.remaining()
 	}
-	h.Wire.WriteAttempt(header, attempt)
+	h.Wire.Write(header, attempt)
 	request := &http.Request{
 		Method: x.r.Method, URL: &target, Host: x.r.Host, Header: header,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -140,7 +140,7 @@
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
-	x := &exchange{w: w, r: r, start: time.Now(), call: h.Wire.ReadRequest(r)}
+	x := &exchange{w: w, r: r, start: time.Now(), call: h.Wire.Read(r)}
 	refused := h.admit(x)
 	if refused == nil {
 		refused = h.readBody(x)
--- a/internal/relay/signals_test.go
+++ b/internal/relay/signals_test.go
@@ -189,9 +189,9 @@
 	between func(attempt relay.Attempt)
 }
 
-func (w hookedWire) WriteAttempt(header http.Header, attempt relay.Attempt) {
+func (w hookedWire) Write(header http.Header, attempt relay.Attempt) {
 	w.between(attempt)
-	w.Requests.WriteAttempt(header, attempt)
+	w.Requests.Write(header, attempt)
 }
 
 // Guards against sending a request to a server that asked for a pause or announced that it
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -62,10 +62,10 @@
 
 // Wire translates between HTTP headers and the types of this package. It makes no decisions.
 type Wire interface {
-	// ReadRequest reads the head of a caller's request.
-	ReadRequest(*http.Request) Call
-	// WriteAttempt adds the headers of an attempt to those of the caller.
-	WriteAttempt(http.Header, Attempt)
+	// Read reads the head of a caller's request.
+	Read(*http.Request) Call
+	// Write adds the headers of an attempt to those of the caller.
+	Write(http.Header, Attempt)
 	// ReadResponse reads the head of a backend server's response.
 	ReadResponse(*http.Response) ResponseInfo
 }
