--- a/internal/configuration/accept.go
+++ b/internal/configuration/accept.go
@@ -16,42 +16,44 @@
 )
 
 const (
-	// gatherTime lets changes written together be accepted together.
-	gatherTime = 50 * time.Millisecond
-	// rankTime is how much later each rank tries than the one before it. The
-	// first rank has mostly accepted by then, and the others need not try.
-	rankTime = 600 * time.Millisecond
-	// noticeCapacity bounds what the watches have seen and the acceptor has not.
-	noticeCapacity = 256
+	// batchDelay is the wait before an attempt, so that changes written together are
+	// accepted together.
+	batchDelay = 50 * time.Millisecond
+	// rankDelay is the additional wait per rank. The first rank has usually accepted
+	// by then, so that the others need not try.
+	rankDelay = 600 * time.Millisecond
+	// updateBuffer is the number of updates buffered between the watches and the acceptor.
+	updateBuffer = 256
 )
 
-// notice is what a watch of one kind of records tells the acceptor.
-type notice struct {
+// recordUpdate is a list or an event from the watch of one kind of records. Exactly
+// one of list and event is set.
+type recordUpdate struct {
 	kind  api.Kind
 	list  *platform.List
 	event *platform.WatchEvent
 }
 
-// recordSink passes one kind's records on.
+// recordSink sends the lists and events of one kind of records to the acceptor.
 type recordSink struct {
 	ctx     context.Context
 	manager *Manager
 	kind    api.Kind
-	notices chan<- notice
+	updates chan<- recordUpdate
 }
 
 // Listed implements platform.Sink.
 func (s recordSink) Listed(list platform.List) error {
-	return s.pass(notice{kind: s.kind, list: &list})
+	return s.send(recordUpdate{kind: s.kind, list: &list})
 }
 
 // Watched implements platform.Sink.
 func (s recordSink) Watched(event platform.WatchEvent) error {
-	return s.pass(notice{kind: s.kind, event: &event})
+	return s.send(recordUpdate{kind: s.kind, event: &event})
 }
 
-// Held implements platform.Holder by the records in force. A record's version
-// decides what is in force, so its spelling in the platform isn't needed.
+// Held implements platform.Holder with the records in force. The record version
+// alone identifies the value, so the JSON stored in the platform isn't needed.
 func (s recordSink) Held(name string, version uint64) json.RawMessage {
 	inForce, _ := s.manager.store.current()
 	record := inForce.set.Record(s.kind, name)
@@ -62,29 +64,29 @@
 }
 
 // Broken implements platform.Sink.
-func (s recordSink) Broken(err error) { s.manager.platformBroken(err) }
+func (s recordSink) Broken(err error) { s.manager.recordPlatformFailure(err) }
 
-func (s recordSink) pass(n notice) error {
-	s.manager.platformAnswers()
+func (s recordSink) send(update recordUpdate) error {
+	s.manager.recordPlatformSuccess()
 	select {
-	case s.notices <- n:
+	case s.updates <- update:
 		return nil
 	case <-s.ctx.Done():
 		return s.ctx.Err()
 	}
 }
 
-// accepts tells whether this VM is one of those that accept records.
-func (m *Manager) accepts() bool { return m.acceptRank() < acceptors }
+// isAcceptor reports whether this VM is one of those that accept records.
+func (m *Manager) isAcceptor() bool { return m.acceptRank() < acceptors }
 
-// acceptRank is this VM's place among those that accept. Any VM may: the
-// release's conditional update settles a race, ranks only make it rare.
+// acceptRank returns this VM's rank among the acceptors. Any VM may accept: the
+// conditional update of the release resolves races, and ranks only make them rare.
 func (m *Manager) acceptRank() int { return m.ranks().accept }
 
-// accept watches the operators' records and accepts them until ctx ends.
-func (m *Manager) accept(ctx context.Context) {
-	// With the release in force first, the lists that follow share its records.
-	// If it can't be read, the first attempt reads it.
+// runAcceptor watches the operators' records and accepts them until ctx ends.
+func (m *Manager) runAcceptor(ctx context.Context) {
+	// With the release in force read first, the lists that follow share its records.
+	// On an error, the first attempt reads it again.
 	_ = m.readRelease(ctx)
 	a := &acceptor{
 		Manager: m,
@@ -94,44 +96,44 @@
 	}
 	inForce, _ := m.store.current()
 	a.base = inForce.set
-	notices := make(chan notice, noticeCapacity)
+	updates := make(chan recordUpdate, updateBuffer)
 	for _, kind := range api.OperatorKinds() {
-		sink := recordSink{ctx: ctx, manager: m, kind: kind, notices: notices}
-		defer start(ctx, func(ctx context.Context) {
+		sink := recordSink{ctx: ctx, manager: m, kind: kind, updates: updates}
+		defer startTask(ctx, func(ctx context.Context) {
 			_ = m.platform.Follow(ctx, string(kind), "", sink)
 		}).stop()
 	}
-	a.run(ctx, notices)
+	a.run(ctx, updates)
 }
 
-// acceptor is the duty of accepting. It is used from one goroutine.
+// acceptor accepts records. It is used from one goroutine.
 type acceptor struct {
 	*Manager
 	view   *config.View
 	listed map[api.Kind]bool
 	// base is the set that the view is compared with.
 	base *config.Set
-	// readable is what the live VMs could read when last looked at.
+	// readable is the result of the last readableVersions call.
 	readable map[string][]string
 	due      <-chan time.Time
 	backoff  *platform.Backoff
 }
 
-func (a *acceptor) run(ctx context.Context, notices <-chan notice) {
-	look := a.clock.After(a.jittered(roleInterval))
+func (a *acceptor) run(ctx context.Context, updates <-chan recordUpdate) {
+	vmCheck := a.clock.After(a.jittered(roleInterval))
 	for {
 		_, changed := a.store.current()
 		a.rebase()
 		select {
-		case n := <-notices:
-			if a.take(n) {
+		case update := <-updates:
+			if a.applyUpdate(update) {
 				a.schedule()
 			}
 		case <-changed:
 			a.rebase()
-		case <-look:
-			look = a.clock.After(a.jittered(roleInterval))
-			a.lookAtVMs()
+		case <-vmCheck:
+			vmCheck = a.clock.After(a.jittered(roleInterval))
+			a.checkVMs()
 		case <-a.due:
 			a.due = nil
 			a.attempt(ctx)
@@ -141,18 +143,18 @@
 	}
 }
 
-// take brings a notice into the view, and tells whether it may call for an attempt.
-func (a *acceptor) take(n notice) bool {
-	if n.list != nil {
-		a.listed[n.kind] = true
-		return a.view.ApplyList(n.kind, uint64(n.list.Version), changesOf(n.list.Items), a.base)
+// applyUpdate applies an update to the view and reports whether an attempt may be needed.
+func (a *acceptor) applyUpdate(update recordUpdate) bool {
+	if update.list != nil {
+		a.listed[update.kind] = true
+		return a.view.ApplyList(update.kind, uint64(update.list.Version), changesOf(update.list.Items), a.base)
 	}
-	if n.event.Bookmark {
-		a.view.ApplyBookmark(n.kind, uint64(n.event.Object.Version))
+	if update.event.Bookmark {
+		a.view.ApplyBookmark(update.kind, uint64(update.event.Object.Version))
 		return false
 	}
-	change := changeOf(n.event.Object)
-	if n.event.Deleted {
+	change := changeOf(update.event.Object)
+	if update.event.Deleted {
 		change.Raw = nil
 	}
 	return a.view.ApplyEvent(change, a.base)
@@ -178,26 +180,27 @@
 	}
 }
 
-// schedule sets the time of the next attempt by this VM's rank, unless it is set.
+// schedule sets the time of the next attempt by this VM's rank, unless one is scheduled.
 func (a *acceptor) schedule() {
 	if a.due == nil {
-		wait := gatherTime + time.Duration(a.acceptRank())*a.jittered(rankTime)
+		wait := batchDelay + time.Duration(a.acceptRank())*a.jittered(rankDelay)
 		a.due = a.clock.After(wait)
 	}
 }
 
-// lookAtVMs calls for an attempt when VMs came, went or read other versions
-// than before, since that may free records that are pending.
-func (a *acceptor) lookAtVMs() {
-	readable := a.readableNow()
+// checkVMs schedules an attempt when the set of VMs or the versions that they read
+// have changed, since records that are pending may then be acceptable.
+func (a *acceptor) checkVMs() {
+	readable := a.readableVersions()
 	if !maps.EqualFunc(readable, a.readable, slices.Equal) {
 		a.readable = readable
 		a.schedule()
 	}
 }
 
-// readableNow gives what each live VM reads. A VM that does not say is left out.
-func (m *Manager) readableNow() map[string][]string {
+// readableVersions returns the record versions that each live VM reads. VMs that
+// don't report any are left out.
+func (m *Manager) readableVersions() map[string][]string {
 	readable := make(map[string][]string)
 	for _, member := range m.directory.Members() {
 		if len(member.Reads) > 0 {
@@ -207,16 +210,16 @@
 	return readable
 }
 
-// whole tells whether every kind has been listed: a view that lacks a kind
-// would take all its records for deleted.
-func (a *acceptor) whole() bool { return len(a.listed) == len(api.OperatorKinds()) }
+// allKindsListed reports whether every kind has been listed. In a view without one
+// of the kinds, all its records would count as deleted.
+func (a *acceptor) allKindsListed() bool { return len(a.listed) == len(api.OperatorKinds()) }
 
 func (a *acceptor) attempt(ctx context.Context) {
-	if !a.whole() {
+	if !a.allKindsListed() {
 		a.schedule()
 		return
 	}
-	err := a.try(ctx)
+	err := a.tryAccept(ctx)
 	switch {
 	case err == nil:
 		a.backoff.Reset()
@@ -229,11 +232,11 @@
 	a.due = a.clock.After(a.backoff.Next())
 }
 
-// try makes one attempt, from the platform's newest release on.
-func (a *acceptor) try(ctx context.Context) error {
+// tryAccept makes one attempt, based on the platform's newest release.
+func (a *acceptor) tryAccept(ctx context.Context) error {
 	a.rebase()
 	if len(a.view.Changes()) == 0 {
-		a.judged.set(config.AcceptResult{}, a.view.Seen())
+		a.decisions.record(config.AcceptResult{}, a.view.Seen())
 		return nil
 	}
 	release, objectVersion, err := a.newestRelease(ctx)
@@ -247,7 +250,7 @@
 		Release:  release,
 		Changes:  changes,
 		Seen:     a.view.Seen(),
-		Readable: a.readableNow(),
+		Readable: a.readableVersions(),
 		By:       a.self.Name,
 		At:       a.clock.Now().UTC().Format(time.RFC3339),
 	})
@@ -260,11 +263,11 @@
 		}
 		a.rebase()
 	}
-	a.logVerdicts(a.judged.set(outcome, a.view.Seen()))
+	a.logDecisions(a.decisions.record(outcome, a.view.Seen()))
 	return nil
 }
 
-func (a *acceptor) logVerdicts(records []api.RecordStatus) {
+func (a *acceptor) logDecisions(records []api.RecordStatus) {
 	for _, status := range records {
 		switch status.State {
 		case api.RecordRefused:
@@ -275,5 +278,5 @@
 	}
 }
 
-// oneLine makes an error fit a log line.
+// oneLine returns an error's text with line breaks replaced, for a log line.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
--- a/internal/configuration/manager.go
+++ b/internal/configuration/manager.go
@@ -17,82 +17,82 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// The duties that VMs are ranked for.
+// Roles that VMs are ranked for. The order depends on the names, which are hashed.
 const (
-	dutyRelease = "release"
-	dutyAccept  = "accept"
-	dutySweep   = "sweep"
+	roleRelease = "release"
+	roleAccept  = "accept"
+	roleSweep   = "sweep"
 )
 
-// roleInterval is how often a VM looks at which duties are its own.
+// roleInterval is how often a VM checks which roles it has.
 const roleInterval = time.Second
 
-// Options are what a Manager works with.
+// Options configures a Manager.
 type Options struct {
 	Log logr.Logger
 	// Self is this VM.
 	Self peer.Member
-	// Platform is the VM's one client.
+	// Platform is the client that the whole VM shares.
 	Platform *platform.Client
-	// Directory and Dialer find the other VMs.
+	// Directory lists the other VMs, and Dialer connects to them.
 	Directory *peer.Directory
 	Dialer    *peer.Dialer
-	// Seeds are host:port of VMs to ask when no other is known.
+	// Seeds are host:port addresses of VMs to ask when no other VM is known.
 	Seeds []string
-	// Apply brings a set in force on the VM. It is called in order of release.
+	// Apply brings a set in force on the VM. Calls are serialized, in release order.
 	Apply func(*config.Set)
-	// Clock and Random spread what VMs do. Nil takes the system's.
+	// Clock and Random default to the system's clock and random source.
 	Clock  platform.Clock
 	Random func() float64
-	// Extra are duties of the VMs that accept records: few, and known to reach
-	// the platform's watches.
+	// Extra are tasks that run while this VM is an acceptor: acceptors are few, and
+	// are known to reach the platform's watches.
 	Extra []func(context.Context)
-	// Sources fill the Status records of pipelines and backend servers.
+	// Sources provide the Status records of pipelines and backend servers.
 	Sources []StatusSource
 }
 
-// Manager is the configuration of one VM.
+// Manager keeps the configuration of one VM up to date.
 type Manager struct {
-	log       logr.Logger
-	self      peer.Member
-	platform  *platform.Client
-	directory *peer.Directory
-	dialer    *peer.Dialer
-	seeds     []string
-	clock     platform.Clock
-	random    func() float64
-	sources   []StatusSource
-	extra     []func(context.Context)
-	store     *store
-	judged    *judged
-	// indexes are those of the releases kept, by hash, as the last sweep read
-	// them. Only the sweep uses them.
+	log           logr.Logger
+	self          peer.Member
+	platform      *platform.Client
+	directory     *peer.Directory
+	dialer        *peer.Dialer
+	seeds         []string
+	clock         platform.Clock
+	random        func() float64
+	sources       []StatusSource
+	acceptorTasks []func(context.Context)
+	store         *store
+	decisions     *decisions
+	// indexes are the indexes of the retained releases, by hash, as the last sweep
+	// read them. Used only by the sweep.
 	indexes map[string][]api.PageRef
 
-	ranking sync.Mutex
-	// ranked are the ranks as last worked out.
-	ranked *ranks
+	ranksMu sync.Mutex
+	// cachedRanks is the last result of ranks, or nil.
+	cachedRanks *ranks
 
-	mu   sync.Mutex
-	lost bool
+	mu           sync.Mutex
+	platformDown bool
 	// loading is the release whose pages are being read, or nil.
-	loading *loading
+	loading *releaseLoad
 }
 
-// New makes a manager with nothing in force.
+// New creates a Manager with no release in force.
 func New(options Options) *Manager {
 	m := &Manager{
-		log:       options.Log,
-		self:      options.Self,
-		platform:  options.Platform,
-		directory: options.Directory,
-		dialer:    options.Dialer,
-		seeds:     options.Seeds,
-		clock:     options.Clock,
-		random:    options.Random,
-		sources:   options.Sources,
-		extra:     options.Extra,
-		judged:    newJudged(),
+		log:           options.Log,
+		self:          options.Self,
+		platform:      options.Platform,
+		directory:     options.Directory,
+		dialer:        options.Dialer,
+		seeds:         options.Seeds,
+		clock:         options.Clock,
+		random:        options.Random,
+		sources:       options.Sources,
+		acceptorTasks: options.Extra,
+		decisions:     newDecisions(),
 	}
 	if m.clock == nil {
 		m.clock = platform.SystemClock()
@@ -104,13 +104,13 @@
 	return m
 }
 
-// Mount lets other VMs ask for the configuration in force here.
+// Mount registers the service from which other VMs get the configuration in force here.
 func (m *Manager) Mount(server *peer.Server) {
 	server.Handle(configv1connect.NewConfigServiceHandler(service{store: m.store}))
 }
 
-// InForce is the release in force on this VM, and a channel that is closed when
-// another comes in force. Sequence 0 says that none is.
+// InForce returns the release in force on this VM, and a channel that is closed
+// when another release comes in force. Sequence is 0 while none is in force.
 func (m *Manager) InForce() (api.Release, <-chan struct{}) {
 	inForce, changed := m.store.current()
 	return inForce.release, changed
@@ -119,33 +119,33 @@
 // Run keeps the newest configuration in force until ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	var group run.Group
-	duties := []func(context.Context) error{
-		m.learn,
+	loops := []func(context.Context) error{
+		m.pollPeers,
 		m.catchUp,
-		m.duty(m.watchesRelease, m.watchRelease),
-		m.duty(m.accepts, m.accept),
-		m.duty(m.accepts, m.writeStatus),
-		m.duty(m.sweeps, m.sweep),
+		m.runWhile(m.watchesRelease, m.watchRelease),
+		m.runWhile(m.isAcceptor, m.runAcceptor),
+		m.runWhile(m.isAcceptor, m.writeStatus),
+		m.runWhile(m.isSweeper, m.runSweeper),
 	}
-	for _, do := range m.extra {
-		duties = append(duties, m.duty(m.accepts, do))
+	for _, fn := range m.acceptorTasks {
+		loops = append(loops, m.runWhile(m.isAcceptor, fn))
 	}
-	for _, duty := range duties {
-		dutyCtx, cancel := context.WithCancel(ctx)
-		group.Add(func() error { return duty(dutyCtx) }, func(error) { cancel() })
+	for _, loop := range loops {
+		loopCtx, cancel := context.WithCancel(ctx)
+		group.Add(func() error { return loop(loopCtx) }, func(error) { cancel() })
 	}
 	return group.Run()
 }
 
-// duty runs something while it is this VM's to do.
-func (m *Manager) duty(mine func() bool, do func(context.Context)) func(context.Context) error {
+// runWhile returns a loop that runs a task while this VM has the role for it.
+func (m *Manager) runWhile(assigned func() bool, fn func(context.Context)) func(context.Context) error {
 	return func(ctx context.Context) error {
 		var current *task
 		for {
 			switch {
-			case mine() && current == nil:
-				current = start(ctx, do)
-			case !mine() && current != nil:
+			case assigned() && current == nil:
+				current = startTask(ctx, fn)
+			case !assigned() && current != nil:
 				current.stop()
 				current = nil
 			}
@@ -161,18 +161,18 @@
 	}
 }
 
-// task is a running duty.
+// task is a running function that can be stopped.
 type task struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
-func start(ctx context.Context, do func(context.Context)) *task {
+func startTask(ctx context.Context, fn func(context.Context)) *task {
 	ctx, cancel := context.WithCancel(ctx)
 	t := &task{cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(t.done)
-		do(ctx)
+		fn(ctx)
 	}()
 	return t
 }
@@ -182,26 +182,27 @@
 	<-t.done
 }
 
-// jittered spreads an interval by a quarter, so that VMs do not act in step.
+// jittered returns the interval with a jitter of up to an eighth either way, so
+// that VMs don't act in step.
 func (m *Manager) jittered(interval time.Duration) time.Duration {
 	return interval - interval/8 + time.Duration(m.random()*float64(interval/4))
 }
 
-// platformBroken and platformAnswers log the platform's loss and return, once each.
-func (m *Manager) platformBroken(err error) {
+// recordPlatformFailure logs the loss of the platform, once per outage.
+func (m *Manager) recordPlatformFailure(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.lost {
+	if !m.platformDown {
 		telemetry.PlatformLost.Fail(m.log, err)
 	}
-	m.lost = true
+	m.platformDown = true
 }
 
-func (m *Manager) platformAnswers() {
+func (m *Manager) recordPlatformSuccess() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.lost {
+	if m.platformDown {
 		telemetry.PlatformBack.Log(m.log)
 	}
-	m.lost = false
+	m.platformDown = false
 }
--- a/internal/configuration/manager_test.go
+++ b/internal/configuration/manager_test.go
@@ -22,15 +22,14 @@
 	d := newDeployment(t)
 	d.startMany("a", "a", "a", "b", "b", "b", "c", "c", "c")
 	version := d.model("scorer", "w1")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
 	version = d.model("scorer", "w2")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
-	d.neverBack()
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
+	d.expectIncreasing()
 }
 
-// Symptom: of two operators one is told that his change is accepted and it is
-// gone. Sequence: both read a record and both write it. Cause: writes that do
-// not depend on what was read.
+// Two operators read the same record and both write it. The second write must fail,
+// since an unconditional write would silently overwrite an accepted change.
 func TestTwoOperatorsRaceOnOneRecord(t *testing.T) {
 	d := newDeployment(t)
 	d.startMany("a", "b")
@@ -41,120 +40,118 @@
 	d.Expect(err).NotTo(HaveOccurred())
 	_, err = d.operator.Update(t.Context(), string(api.KindModel), "scorer", history.Version(first), document)
 	d.Expect(err).To(MatchError(platform.ErrConflict))
-	d.everywhere(api.KindModel, "scorer", uint64(uint64(winner.Version)), d.vms...)
-	d.neverBack()
+	d.waitInForce(api.KindModel, "scorer", uint64(uint64(winner.Version)), d.vms...)
+	d.expectIncreasing()
 }
 
-// Symptom: two records are in force that can't both be. Sequence: two operators
-// write one each, each valid alone; two VMs accept at the same time. Cause: the
-// check of the whole is not tied to the write of the Release.
-func TestTwoRecordsThatClashOnlyTogether(t *testing.T) {
+// Two operators each write a record that is valid alone but conflicts with the
+// other, and two VMs accept at the same time. Validation of the whole set must be
+// tied to the write of the Release, or both records come in force.
+func TestConflictingRecordsAreNotBothAccepted(t *testing.T) {
 	d := newDeployment(t)
 	d.startMany("a", "b")
 	d.write(api.KindBackendServer, "portal-1", api.BackendServerSpec{Address: "10.0.0.1:80", DataCentre: "a", Service: "portal"})
 	route := api.RouteSpec{PathPrefix: "/portal/", Service: "portal"}
 	early := d.write(api.KindRoute, "early", route)
 	late := d.write(api.KindRoute, "late", route)
-	d.everywhere(api.KindRoute, "early", early, d.vms...)
+	d.waitInForce(api.KindRoute, "early", early, d.vms...)
 	d.Eventually(func() api.RecordState {
 		state, _ := d.status().State(api.KindRoute, "late", late)
 		return state.State
-	}, patience).Should(Equal(api.RecordRefused))
+	}, waitTimeout).Should(Equal(api.RecordRefused))
 	status, _ := d.status().State(api.KindRoute, "late", late)
 	d.Expect(status.Violations).NotTo(BeEmpty())
-	d.Expect(status.Violations[0].Related).To(ContainElement("Route/early"), "the loser sees both")
+	d.Expect(status.Violations[0].Related).To(ContainElement("Route/early"), "the refused record names the other")
 	for _, v := range d.vms {
 		d.Expect(v.set().Routes).NotTo(HaveKey("late"))
 	}
-	d.neverBack()
+	d.expectIncreasing()
 }
 
-// Symptom: a change is accepted twice or is lost. Sequence: the Release is
-// written; its answer is lost. Cause: taking a lost answer for a failure.
-func TestAnswerToTheReleaseWriteIsLost(t *testing.T) {
+// The Release is written, but the response is lost. If that counted as a failure,
+// the change would be accepted twice or lost.
+func TestLostReleaseWriteResponse(t *testing.T) {
 	d := newDeployment(t)
 	d.startMany("a", "b")
 	version := d.model("scorer", "w1")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
 	before := d.newest().Sequence
 	for _, v := range d.vms {
 		// The first write of the next release is its page, the third the Release.
 		d.platform.SetFaults(v.name, standin.PlatformFaults{LoseWriteAnswers: 3})
 	}
 	version = d.model("scorer", "w2")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
 	d.Expect(d.newest().Sequence).To(Equal(before+1), "accepted once")
-	d.neverBack()
+	d.expectIncreasing()
 }
 
-// Symptom: an accepted change is taken back. Sequence: a VM decides to accept
-// and is paused before it writes the Release; others accept two more changes; it
-// wakes and writes. Cause: a Release made from an old view.
-func TestPausedVMWakesAndWritesItsRelease(t *testing.T) {
+// A VM is paused just before it writes a Release, and others accept two more changes.
+// When it resumes, its Release is outdated and must be refused, or accepted changes
+// would be reverted.
+func TestPausedVMCannotOverwriteNewerRelease(t *testing.T) {
 	d := newDeployment(t)
 	paused := newGate()
 	d.start("vm-1", "a", withTransport(paused))
 	version := d.model("scorer", "w1")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
 
 	paused.close()
 	old := d.model("scorer", "w2")
-	d.Eventually(paused.held, patience).Should(Receive())
+	d.Eventually(paused.blocked, waitTimeout).Should(Receive())
 	other := d.start("vm-2", "b")
-	d.everywhere(api.KindModel, "scorer", old, other)
+	d.waitInForce(api.KindModel, "scorer", old, other)
 	d.model("reader", "w1")
 	latest := d.model("scorer", "w3")
-	d.everywhere(api.KindModel, "scorer", latest, other)
+	d.waitInForce(api.KindModel, "scorer", latest, other)
 	sequence := d.newest().Sequence
 
 	paused.open()
-	d.everywhere(api.KindModel, "scorer", latest, d.vms...)
-	d.Expect(d.newest().Sequence).To(Equal(sequence), "the paused VM's release is refused")
+	d.waitInForce(api.KindModel, "scorer", latest, d.vms...)
+	d.Expect(d.newest().Sequence).To(Equal(sequence), "the paused VM's release is not written")
 	d.Expect(d.newest().By).To(Equal("vm-2"))
-	d.neverBack()
+	d.expectIncreasing()
 }
 
-// Symptom: a VM runs an old configuration for good. Sequence: its watch of the
-// Release goes silent without closing; a change is accepted. Cause: trusting an
-// open connection.
-func TestSilentWatchDoesNotKeepAVMBehind(t *testing.T) {
+// The watch of the Release goes silent without closing while a change is accepted.
+// A VM that trusts the open connection would run a stale configuration for good.
+func TestVMRecoversFromSilentWatch(t *testing.T) {
 	d := newDeployment(t)
 	d.startMany("a", "b")
 	version := d.model("scorer", "w1")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
 	for _, v := range d.vms {
 		d.platform.SetFaults(v.name, standin.PlatformFaults{WatchSilent: true})
 	}
 	version = d.model("scorer", "w2")
 	for _, v := range d.vms {
 		calls := v.Manager.platform.Calls().Of(platform.MethodWatch)
-		d.Eventually(func() uint64 { return v.Manager.platform.Calls().Of(platform.MethodWatch) }, patience).Should(BeNumerically(">", calls))
+		d.Eventually(func() uint64 { return v.Manager.platform.Calls().Of(platform.MethodWatch) }, waitTimeout).Should(BeNumerically(">", calls))
 		d.platform.SetFaults(v.name, standin.PlatformFaults{})
 	}
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
-	d.neverBack()
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
+	d.expectIncreasing()
 }
 
-// Symptom: a VM goes back to an older release, or accepts from old records.
-// Sequence: it has seen a newer state by watch; then the platform answers its
-// lists from an old replica. Cause: taking the latest answer for the newest.
-func TestStaleListTakesNobodyBack(t *testing.T) {
+// A VM has seen a newer state by watch when the platform answers its lists from an
+// old replica. It must not revert to an older release or accept from old records.
+func TestStaleListDoesNotRevertRelease(t *testing.T) {
 	d := newDeployment(t)
 	d.startMany("a", "b")
 	version := d.model("scorer", "w1")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
 	for _, v := range d.vms {
 		d.platform.SetFaults(v.name, standin.PlatformFaults{StaleLists: true})
 	}
 	version = d.model("scorer", "w2")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
-	// A watch that must start anew finds its history compacted and lists.
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
+	// A watch that must restart finds its history compacted and lists instead.
 	for _, v := range d.vms {
 		d.platform.SetFaults(v.name, standin.PlatformFaults{StaleLists: true, Down: true})
 	}
 	d.model("reader", "w1")
 	d.platform.Compact()
-	// A third VM knows nothing, and is given the old state by its first lists.
+	// The lists return the old state.
 	stale := standin.PlatformFaults{StaleLists: true}
 	for _, v := range d.vms {
 		d.platform.SetFaults(v.name, stale)
@@ -164,18 +161,17 @@
 		d.Consistently(v.has(api.KindModel, "scorer", 0), "300ms").Should(BeFalse())
 		d.platform.SetFaults(v.name, standin.PlatformFaults{})
 	}
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
-	d.neverBack()
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
+	d.expectIncreasing()
 }
 
-// Symptom: a VM replaced during an outage of the platform serves nothing.
-// Sequence: the platform goes down; a VM starts and knows only a seed. Cause:
-// configuration that only the platform can give.
-func TestVMThatStartsDuringAnOutageGetsItFromAPeer(t *testing.T) {
+// A VM that starts while the platform is down, and knows only a seed, must get the
+// configuration from a peer.
+func TestVMStartedDuringOutageLoadsFromPeer(t *testing.T) {
 	d := newDeployment(t)
 	d.startMany("a", "a")
 	version := d.model("scorer", "w1")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
 	d.platform.SetFaults("", standin.PlatformFaults{Down: true})
 	seed := d.vms[0].self.Address
 
@@ -183,54 +179,54 @@
 	d.vms = nil // the new VM knows no member
 	started := d.start("vm-3", "a", withSeeds(seed))
 	alone := d.start("vm-4", "z")
-	d.everywhere(api.KindModel, "scorer", version, started, alone)
+	d.waitInForce(api.KindModel, "scorer", version, started, alone)
 	d.vms = append(d.vms, old...)
-	d.neverBack()
+	d.expectIncreasing()
 }
 
-// Symptom: a VM with nothing in force answers callers as if it had.
-// Sequence: it starts during an outage and reaches no other VM.
+// A VM that starts during an outage and reaches no other VM must not serve as if it
+// had a configuration.
 func TestVMWithNeitherPlatformNorPeerHasNothingInForce(t *testing.T) {
 	d := newDeployment(t)
 	d.platform.SetFaults("", standin.PlatformFaults{Down: true})
 	alone := d.start("vm-1", "a", withSeeds("127.0.0.1:1"))
-	d.Eventually(func() uint64 { return alone.Manager.platform.Calls().Of(platform.MethodList) }, patience).Should(BeNumerically(">", 2))
+	d.Eventually(func() uint64 { return alone.Manager.platform.Calls().Of(platform.MethodList) }, waitTimeout).Should(BeNumerically(">", 2))
 	d.Expect(alone.inForce()).To(BeEmpty())
 }
 
-// Symptom: after a partition a data centre goes back, or stays behind.
-// Sequence: one data centre is cut off from the platform and from the other;
-// changes are accepted on the other side; the cut heals. Cause: taking what one
-// has for the newest.
-func TestTwoDataCentresApartAndHealed(t *testing.T) {
+// One data centre is cut off from the platform and from the other, where changes are
+// accepted. When the partition heals, no VM may revert to an older release or stay
+// stale.
+func TestDataCentrePartitionHeals(t *testing.T) {
 	d := newDeployment(t)
 	d.startMany("a", "a", "b", "b")
 	near, far := d.vms[:2], d.vms[2:]
 	version := d.model("scorer", "w1")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
 	cut(near, far)
 	d.platform.CutOff(far[0].name, far[1].name)
 	version = d.model("scorer", "w2")
 	latest := d.model("reader", "w1")
-	d.everywhere(api.KindModel, "reader", latest, near...)
-	d.everywhere(api.KindModel, "scorer", version, near...)
+	d.waitInForce(api.KindModel, "reader", latest, near...)
+	d.waitInForce(api.KindModel, "scorer", version, near...)
 	for _, v := range far {
-		d.Expect(v.set().Models["scorer"].Version).To(Equal("w1"), "it serves on with what it has")
+		d.Expect(v.set().Models["scorer"].Version).To(Equal("w1"), "the last release stays in force")
 	}
 	// The link between the data centres heals first: the platform is not needed.
 	heal(near, far)
-	d.everywhere(api.KindModel, "reader", latest, far...)
+	d.waitInForce(api.KindModel, "reader", latest, far...)
 	for _, v := range far {
 		d.platform.SetFaults(v.name, standin.PlatformFaults{})
 	}
 	version = d.model("scorer", "w3")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
-	d.neverBack()
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
+	d.expectIncreasing()
 }
 
-// cut makes VMs unknown and unreachable to one another and breaks their connections.
-// Unknown alone is no cut: a VM that has looked another up just before opens its
-// connection just after the others are broken, and waits there for the next release.
+// cut makes VMs unknown and unreachable to one another and closes their connections.
+// Removing them from the directories isn't enough: a VM that has just looked up
+// another one could open its connection after the others are closed, and get the next
+// release over it.
 func cut(near, far []*vm) {
 	for _, n := range near {
 		for _, f := range far {
@@ -256,14 +252,13 @@
 	}
 }
 
-// Symptom: a throttled VM calls without pause and keeps the platform throttled,
-// or forgets a change. Sequence: the platform throttles while a change is
-// written. Cause: retries without back-off; a failed attempt not repeated.
-func TestThrottledPlatformDelaysButLosesNothing(t *testing.T) {
+// The platform throttles while a change is written. Retries without backoff would
+// keep it throttled, and a failed attempt that isn't retried would lose the change.
+func TestThrottledPlatformLosesNoChange(t *testing.T) {
 	d := newDeployment(t)
 	d.startMany("a", "b")
 	version := d.model("scorer", "w1")
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
 	for _, v := range d.vms {
 		d.platform.SetFaults(v.name, standin.PlatformFaults{Throttled: true})
 	}
@@ -272,16 +267,16 @@
 		return d.vms[0].Manager.platform.Calls()[platform.Call{Method: platform.MethodGet, Outcome: "throttled"}] +
 			d.vms[1].Manager.platform.Calls()[platform.Call{Method: platform.MethodGet, Outcome: "throttled"}]
 	}
-	d.Eventually(throttled, patience).Should(BeNumerically(">=", 3))
+	d.Eventually(throttled, waitTimeout).Should(BeNumerically(">=", 3))
 	for _, v := range d.vms {
 		d.platform.SetFaults(v.name, standin.PlatformFaults{})
 	}
-	d.everywhere(api.KindModel, "scorer", version, d.vms...)
-	d.neverBack()
+	d.waitInForce(api.KindModel, "scorer", version, d.vms...)
+	d.expectIncreasing()
 }
 
-// Symptom: an old VM serves with a field missing. Sequence: a record is written
-// in a version that one live VM doesn't read. Cause: accepting what not all read.
+// A record is written in a version that one live VM doesn't read. It must not be
+// accepted, or that VM would serve with a field missing.
 func TestRecordThatAnOldVMCannotReadStaysPending(t *testing.T) {
 	d := newDeployment(t)
 	d.startMany("a", "b")
@@ -294,7 +289,7 @@
 	d.Eventually(func() []string {
 		state, _ := d.status().State(api.KindPipeline, "scoring", version)
 		return state.CannotRead
-	}, patience).Should(ConsistOf("vm-2"))
+	}, waitTimeout).Should(ConsistOf("vm-2"))
 	for _, v := range d.vms {
 		d.Expect(v.set().Pipelines).To(BeEmpty())
 		upgraded := old
@@ -304,41 +299,40 @@
 	d.Eventually(func() api.RecordState {
 		state, _ := d.status().State(api.KindPipeline, "scoring", version)
 		return state.State
-	}, patience).ShouldNot(Equal(api.RecordPending), "it is decided on again when the VM is upgraded")
+	}, waitTimeout).ShouldNot(Equal(api.RecordPending), "the record is decided on again after the upgrade")
 }
 
-// Symptom: a VM can't load a release since one of its pages is gone. Sequence: a
-// sweep finds a page that no release has; a VM accepts records that make this
-// very page; the sweep deletes it. Cause: deciding and deleting without a tie.
-func TestSweepNeverDeletesAPageThatAReleaseNames(t *testing.T) {
+// A VM accepts records that produce a page just when a sweep has found that page
+// unreferenced. The delete must be conditional, or the release can't be loaded.
+func TestSweepKeepsReferencedPages(t *testing.T) {
 	d := newDeployment(t)
 	v := d.start("vm-1", "a")
 	version := d.model("scorer", "w1")
-	d.everywhere(api.KindModel, "scorer", version, v)
-	named := d.newest().Pages[0].Hash
+	d.waitInForce(api.KindModel, "scorer", version, v)
+	referenced := d.newest().Pages[0].Hash
 	for i := range 3 {
-		_, err := d.operator.Create(t.Context(), string(api.KindPage), fmt.Sprintf("%s-loose-%d", named[:2], i), i)
+		_, err := d.operator.Create(t.Context(), string(api.KindPage), fmt.Sprintf("%s-loose-%d", referenced[:2], i), i)
 		d.Expect(err).NotTo(HaveOccurred())
 	}
 	before := d.newest()
-	d.Eventually(func() (int, error) { return v.sweepOnce(context.Background(), named[:2]) }, patience).Should(Equal(3))
+	d.Eventually(func() (int, error) { return v.sweepPrefix(context.Background(), referenced[:2]) }, waitTimeout).Should(Equal(3))
 	d.Expect(d.newest()).To(Equal(before))
-	_, err := d.operator.Get(t.Context(), string(api.KindPage), named)
+	_, err := d.operator.Get(t.Context(), string(api.KindPage), referenced)
 	d.Expect(err).NotTo(HaveOccurred())
 	// A page that another VM wrote again after the sweep's list has a newer version.
 	version = d.model("scorer", "w2")
-	d.everywhere(api.KindModel, "scorer", version, v)
-	kept, err := d.operator.Get(t.Context(), string(api.KindRelease), KeptName(before.Sequence))
+	d.waitInForce(api.KindModel, "scorer", version, v)
+	archived, err := d.operator.Get(t.Context(), string(api.KindRelease), KeptName(before.Sequence))
 	d.Expect(err).NotTo(HaveOccurred())
-	d.Expect(string(kept.Value)).To(ContainSubstring(named))
-	d.Expect(v.sweepOnce(t.Context(), named[:2])).To(Equal(0), "a kept release has it")
+	d.Expect(string(archived.Value)).To(ContainSubstring(referenced))
+	d.Expect(v.sweepPrefix(t.Context(), referenced[:2])).To(Equal(0), "an archived release references it")
 }
 
-func TestPeersServeWhatIsInForce(t *testing.T) {
+func TestPeersServeReleaseInForce(t *testing.T) {
 	d := newDeployment(t)
 	v := d.start("vm-1", "a")
 	version := d.model("scorer", "w1")
-	d.everywhere(api.KindModel, "scorer", version, v)
+	d.waitInForce(api.KindModel, "scorer", version, v)
 	s := service{store: v.store}
 	answer, err := s.InForce(t.Context(), connect.NewRequest(&configv1.InForceRequest{Known: v.sequence()}))
 	d.Expect(err).NotTo(HaveOccurred())
@@ -349,23 +343,23 @@
 	d.Expect(pages.Msg.GetPages()).To(HaveLen(1))
 }
 
-// servers is a StatusSource that tests change.
-type servers struct {
+// fakeServers is a StatusSource whose states tests can set.
+type fakeServers struct {
 	mu     sync.Mutex
 	states map[string]string
 }
 
-func (s *servers) set(states map[string]string) {
+func (s *fakeServers) set(states map[string]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.states = states
 }
 
 // PipelineStatus implements StatusSource.
-func (s *servers) PipelineStatus() []api.PipelineStatus { return nil }
+func (s *fakeServers) PipelineStatus() []api.PipelineStatus { return nil }
 
 // BackendServerStatus implements StatusSource.
-func (s *servers) BackendServerStatus() []api.BackendServerStatus {
+func (s *fakeServers) BackendServerStatus() []api.BackendServerStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var statuses []api.BackendServerStatus
@@ -375,12 +369,11 @@
 	return statuses
 }
 
-// Symptom: the platform's writes grow with the fleet, or status stays of a
-// server that is gone. Sequence: three VMs see the same servers; one is removed.
-// Cause: every VM writing what it sees; nobody deleting.
-func TestStatusOfServersIsWrittenByOneVMOnChange(t *testing.T) {
+// Three VMs see the same servers. Only one may write their status, or the platform's
+// writes grow with the fleet, and it must delete the status of a removed server.
+func TestOneVMWritesServerStatus(t *testing.T) {
 	d := newDeployment(t)
-	source := &servers{}
+	source := &fakeServers{}
 	source.set(map[string]string{"a-1": "live", "a-2": "live"})
 	for i := range 3 {
 		d.start(fmt.Sprintf("vm-%d", i+1), "a", func(o *Options) { o.Sources = []StatusSource{source} })
@@ -394,8 +387,8 @@
 		}
 		return found
 	}
-	d.Eventually(names, patience).Should(ConsistOf("backend-server.a-1", "backend-server.a-2"))
-	first := spread(d.vms[0].directory.Members(), dutyAccept)[0].Name
+	d.Eventually(names, waitTimeout).Should(ConsistOf("backend-server.a-1", "backend-server.a-2"))
+	first := spreadByDataCentre(d.vms[0].directory.Members(), roleAccept)[0].Name
 	source.set(map[string]string{"a-1": "suspect", "a-2": "suspect"})
 	writers := func() []string {
 		list, err := d.operator.List(context.Background(), string(api.KindStatus), api.StatusServerPrefix)
@@ -408,7 +401,7 @@
 		}
 		return found
 	}
-	d.Eventually(writers, patience).Should(ConsistOf("suspect by "+first, "suspect by "+first))
+	d.Eventually(writers, waitTimeout).Should(ConsistOf("suspect by "+first, "suspect by "+first))
 	source.set(map[string]string{"a-2": "live"})
-	d.Eventually(names, patience).Should(ConsistOf("backend-server.a-2"))
+	d.Eventually(names, waitTimeout).Should(ConsistOf("backend-server.a-2"))
 }
--- a/internal/configuration/publish.go
+++ b/internal/configuration/publish.go
@@ -15,17 +15,19 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// pageTries bounds the tries at one page, which others may write or delete meanwhile.
-const pageTries = 4
+// pageWriteAttempts is the maximum number of attempts to write one page, since
+// other VMs may write or delete it concurrently.
+const pageWriteAttempts = 4
 
 var errPageContended = eris.New("page is written and deleted by others at once: it is tried again with the release")
 
-// KeptName is the name under which a release that was replaced is kept, so
-// that an operator can return to its records.
+// KeptName returns the name under which a replaced release is archived, so that an
+// operator can return to its records.
 func KeptName(sequence uint64) string { return fmt.Sprintf("release-%012d", sequence) }
 
-// newestRelease reads the platform's newest release, brings it in force here if
-// it is newer, and gives its object's version; 0 when there is none yet.
+// newestRelease reads the platform's newest release, brings it in force here if it
+// is newer, and returns it with its object's version, which is 0 when there is no
+// release yet.
 func (a *acceptor) newestRelease(ctx context.Context) (api.Release, history.Version, error) {
 	object, err := a.platform.Get(ctx, string(api.KindRelease), api.ReleaseName)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -34,7 +36,7 @@
 	if err != nil {
 		return api.Release{}, 0, err
 	}
-	if err := a.offer(ctx, object.Value, config.FromPlatform, a.platformPages); err != nil {
+	if err := a.offer(ctx, object.Value, config.FromPlatform, a.readPlatformPages); err != nil {
 		return api.Release{}, 0, err
 	}
 	var release api.Release
@@ -44,25 +46,25 @@
 	return release, object.Version, nil
 }
 
-// publish writes the new pages, keeps the release that is replaced, and writes
-// the next one on condition that the platform still has the one it was made
-// from. Nothing is in force until that last write.
-func (a *acceptor) publish(ctx context.Context, former api.Release, objectVersion history.Version, outcome config.AcceptResult) error {
+// publish writes the new pages, archives the release that is replaced, and writes
+// the next one on condition that the platform still has the release it is based on.
+// Nothing is in force until that last write.
+func (a *acceptor) publish(ctx context.Context, replaced api.Release, objectVersion history.Version, outcome config.AcceptResult) error {
 	for _, ref := range outcome.NewPages {
 		value, _ := outcome.Set.PageValue(ref)
 		if err := a.writePage(ctx, ref.Hash, value); err != nil {
 			return err
 		}
 	}
-	if former.Sequence > 0 {
-		_, err := a.platform.Create(ctx, string(api.KindRelease), KeptName(former.Sequence), former)
+	if replaced.Sequence > 0 {
+		_, err := a.platform.Create(ctx, string(api.KindRelease), KeptName(replaced.Sequence), replaced)
 		if err != nil && !errors.Is(err, platform.ErrConflict) {
 			return err
 		}
 	}
 	err := a.writeRelease(ctx, objectVersion, *outcome.Release)
 	if err != nil {
-		err = a.settle(ctx, *outcome.Release, err)
+		err = a.confirmWrite(ctx, *outcome.Release, err)
 	}
 	if err != nil {
 		return err
@@ -72,17 +74,18 @@
 		return err
 	}
 	telemetry.ReleaseAccepted.Log(a.log, "release", outcome.Release.Sequence, "changes", len(outcome.Records), "pages", len(outcome.NewPages))
-	a.adopt(version{release: *outcome.Release, value: value, set: outcome.Set}, config.FromPlatform)
+	a.adopt(loadedRelease{release: *outcome.Release, value: value, set: outcome.Set}, config.FromPlatform)
 	return nil
 }
 
-// writePage writes a page unless it is there. One that is there, left over from
-// a release that is no longer kept or from a race that was lost, is written
-// again: a sweep that is about to delete it then meets a newer version and
-// leaves it. Otherwise the release would name a page that is gone.
+// writePage creates a page or, if it exists, writes it again. An existing page may
+// be left over from a release that is no longer kept or from a lost race, and a
+// concurrent sweep may be about to delete it. Rewriting it changes its version, so
+// that the conditional delete fails; otherwise the release would reference a page
+// that is gone.
 func (a *acceptor) writePage(ctx context.Context, hash string, value []byte) error {
 	kind := string(api.KindPage)
-	for range pageTries {
+	for range pageWriteAttempts {
 		_, err := a.platform.Create(ctx, kind, hash, json.RawMessage(value))
 		if !errors.Is(err, platform.ErrConflict) {
 			return err
@@ -108,9 +111,9 @@
 	return err
 }
 
-// settle looks what became of a release whose write was not confirmed. It may
-// have been in force and have been followed by another VM's.
-func (a *acceptor) settle(ctx context.Context, ours api.Release, writeErr error) error {
+// confirmWrite checks whether a release was written although its write returned an
+// error. It may have been in force and have been replaced by another VM's since.
+func (a *acceptor) confirmWrite(ctx context.Context, written api.Release, writeErr error) error {
 	object, err := a.platform.Get(ctx, string(api.KindRelease), api.ReleaseName)
 	if err != nil {
 		return writeErr
@@ -119,7 +122,7 @@
 	if err := json.Unmarshal(object.Value, &current); err != nil {
 		return writeErr
 	}
-	if err := config.ConfirmWritten(ours, current); err != nil {
+	if err := config.ConfirmWritten(written, current); err != nil {
 		return fmt.Errorf("%w: %w", err, writeErr)
 	}
 	return nil
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -8,7 +8,7 @@
 	"oleandershunt.example/oleandershunt/internal/platform"
 )
 
-// releaseSink takes the Release object of the platform.
+// releaseSink offers the platform's Release object to the manager.
 type releaseSink struct {
 	ctx     context.Context
 	manager *Manager
@@ -16,9 +16,9 @@
 
 // Listed implements platform.Sink.
 func (s releaseSink) Listed(list platform.List) error {
-	s.manager.platformAnswers()
+	s.manager.recordPlatformSuccess()
 	for _, object := range list.Items {
-		if err := s.take(object); err != nil {
+		if err := s.offer(object); err != nil {
 			return err
 		}
 	}
@@ -27,27 +27,27 @@
 
 // Watched implements platform.Sink.
 func (s releaseSink) Watched(event platform.WatchEvent) error {
-	s.manager.platformAnswers()
+	s.manager.recordPlatformSuccess()
 	if event.Bookmark || event.Deleted {
 		return nil
 	}
-	return s.take(event.Object)
+	return s.offer(event.Object)
 }
 
 // Broken implements platform.Sink.
-func (s releaseSink) Broken(err error) { s.manager.platformBroken(err) }
+func (s releaseSink) Broken(err error) { s.manager.recordPlatformFailure(err) }
 
-func (s releaseSink) take(object platform.Object) error {
+func (s releaseSink) offer(object platform.Object) error {
 	if object.Name != api.ReleaseName {
 		return nil
 	}
-	return s.manager.offer(s.ctx, object.Value, config.FromPlatform, s.manager.platformPages)
+	return s.manager.offer(s.ctx, object.Value, config.FromPlatform, s.manager.readPlatformPages)
 }
 
-// watchRelease follows the Release in the platform until ctx ends.
+// watchRelease watches the Release in the platform until ctx ends.
 func (m *Manager) watchRelease(ctx context.Context) {
 	_ = m.platform.Follow(ctx, string(api.KindRelease), api.ReleaseName, releaseSink{ctx: ctx, manager: m})
 }
 
-// watchesRelease tells whether this VM is one of those that watch the Release.
+// watchesRelease reports whether this VM is one of those that watch the Release.
 func (m *Manager) watchesRelease() bool { return m.ranks().release < releaseWatchers }
