--- a/renames/platform.sed
+++ b/renames/platform.sed
@@ -15,5 +15,5 @@
 s#^(\t// )Whole reports that#\1IsSnapshot reports that#
 s#^(// )Of returns the number#\1Total returns the number#
 s#^(\t// )Gather is how long#\1BatchDelay is how long#
-s#^(// )Reads (tells|reports|returns)#\1IsReader \2#
+s#^(// )Reads (implements|tells|reports|returns)#\1IsReader \2#
 s#^(// )Answered (implements|records|says|tells)#\1RecordPlatformResponse \2#
