--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -22,18 +22,18 @@
 	return limits
 }
 
-// startTracing exports spans where the settings say so, and sends the last of
-// them during a planned stop.
-func (p *parts) startTracing() error {
-	t := p.settings.Tracing
+// startTracing exports spans to the endpoint of the settings, if one is set, and
+// flushes the remaining ones during a planned stop.
+func (c *components) startTracing() error {
+	t := c.settings.Tracing
 	if t.Endpoint == "" {
 		return nil
 	}
-	vm := p.settings.VM
+	vm := c.settings.VM
 	shutdown, err := telemetry.StartTracing(context.Background(), t.Endpoint, t.Share, vm.Name, vm.DataCentre)
 	if err != nil {
 		return err
 	}
-	p.drain.OnDrain(func(ctx context.Context) { _ = shutdown(ctx) })
+	c.drain.OnDrain(func(ctx context.Context) { _ = shutdown(ctx) })
 	return nil
 }
--- a/internal/node/parts.go
+++ b/internal/node/components.go
@@ -24,49 +24,51 @@
 	"oleandershunt.example/oleandershunt/internal/trace"
 )
 
-// parts are what the duties of one process share. They are made before any
-// duty starts; a duty mounts its handlers and hooks while it is added.
-type parts struct {
+// components are the objects that the actors of one process share. They are
+// created before any actor starts. An actor mounts its handlers and registers its
+// hooks when it is added to the group.
+type components struct {
 	settings settings.Settings
 	log      logr.Logger
-	// self is this VM as the others are to know it.
+	// self is this VM as published to the others.
 	self peer.Member
 	// loop runs the core.
 	loop *loop.Loop
-	// stopLoop ends the core's loop before the other duties, to give up the
+	// stopLoop ends the core's loop before the other actors, which aborts the
 	// requests in flight.
 	stopLoop context.CancelFunc
-	// clock is what silences and connects are measured by.
+	// clock measures connect times and times without data from a server.
 	clock *schedclock.Clock
-	// entry answers callers.
+	// entry serves the callers' requests.
 	entry *entry.Server
-	// platform is the one client, so that all calls share a budget.
+	// platform is shared, so that all calls use one budget; only the claims have a
+	// client of their own.
 	platform *platform.Client
-	// directory is the VMs known; peers takes their calls and dialer makes ours.
+	// directory lists the known VMs; peers serves their calls, dialer calls them.
 	directory *peer.Directory
 	peers     *peer.Server
 	dialer    *peer.Dialer
-	// keys are for calls between VMs; nil when these are not encrypted.
+	// keys are the TLS keys for calls between VMs; nil if these are not encrypted.
 	keys *peer.Keys
-	// gossip spreads what VMs know among them.
+	// gossip exchanges state between the VMs.
 	gossip *gossip.Gossip
-	// contacts are addresses of VMs that the platform names.
+	// contacts are the addresses with which the gossip starts.
 	contacts *contacts
-	// journal keeps the core's notes about recent requests.
+	// journal keeps the core's decisions on recent requests.
 	journal *journal.Journal
-	// operations serves metrics and profiles.
+	// operations serves metrics, the pipelines' bounds and the recording.
 	operations *http.ServeMux
-	// held knows how many tokens the pipelines give.
-	held *heldDuty
-	// placement gives the orders of the data centre.
+	// throughput tracks the tokens per second that the pipelines deliver.
+	throughput *throughputTracker
+	// placement sends the placement orders of the data centre.
 	placement *placement.Service
-	// recorder keeps the core's events. nil when recording is off.
+	// recorder records the core's events; nil if recording is off.
 	recorder *trace.Recorder
-	// drain is the planned stop; a duty that holds a lease registers a hook.
+	// drain are the hooks of the planned stop, such as releasing a lease.
 	drain *drainHooks
 }
 
-func (n *Node) assemble() (*parts, error) {
+func (n *Node) assemble() (*components, error) {
 	s := n.settings
 	options := core.Options{
 		VM:          s.VM.Name,
@@ -76,7 +78,7 @@
 		MaxAttempts: s.Requests.MaxAttempts,
 		Requests:    requestOptions(s),
 	}
-	p := &parts{
+	c := &components{
 		settings: s,
 		log:      n.log,
 		self: peer.Member{
@@ -95,26 +97,25 @@
 		operations: http.NewServeMux(),
 		drain:      &drainHooks{},
 	}
-	if err := p.assemblePeers(); err != nil {
+	if err := c.assemblePeers(); err != nil {
 		return nil, err
 	}
-	p.operations.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
-	engines := n.record(p, options, engine.NewHTTPClientWithTimeout(s.Engines.ConnectTime, p.clock))
-	p.entry = entry.New(callerLimits(s), p.loop, p.clock, engines, service.NewClientWithTimeout(s.Engines.ConnectTime, p.clock))
-	p.held = newHeldDuty(p.gossip, s.VM.Name, s.VM.DataCentre, p.entry.Delivered)
-	return p, p.startTracing()
+	c.operations.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
+	engines := n.attachRecorder(c, options, engine.NewHTTPClientWithTimeout(s.Engines.ConnectTime, c.clock))
+	c.entry = entry.New(callerLimits(s), c.loop, c.clock, engines, service.NewClientWithTimeout(s.Engines.ConnectTime, c.clock))
+	c.throughput = newThroughputTracker(c.gossip, s.VM.Name, s.VM.DataCentre, c.entry.Delivered)
+	return c, c.startTracing()
 }
 
-// drainHooks are called during a planned stop, after the last request has been
-// answered and before the duties end.
+// drainHooks are called during a planned stop, after the last request has
+// finished and before the actors end.
 type drainHooks struct {
 	mu    sync.Mutex
 	hooks []func(context.Context)
 }
 
-// OnDrain registers a hook, for example one that hands a lease over. Hooks run
-// one after another, and the last registered runs first. Each must return when
-// ctx ends.
+// OnDrain registers a hook, for example one that hands over a lease. Hooks run one
+// after another in reverse order of registration. Each must return when ctx ends.
 func (d *drainHooks) OnDrain(hook func(context.Context)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/configuration.go
+++ b/internal/node/configuration.go
@@ -12,46 +12,46 @@
 	"oleandershunt.example/oleandershunt/internal/explain"
 )
 
-// addConfiguration brings the operators' records in force on this VM, and lets
-// other VMs have them from it.
-func addConfiguration(group *run.Group, p *parts) {
-	answers := explain.New(explain.Options{
-		Log:       p.log,
-		Self:      p.self.Name,
-		Platform:  p.platform,
-		Directory: p.directory,
-		Dialer:    p.dialer,
-		Journal:   p.journal,
+// addConfiguration applies the operators' records on this VM and serves them to
+// other VMs.
+func addConfiguration(group *run.Group, c *components) {
+	explainer := explain.New(explain.Options{
+		Log:       c.log,
+		Self:      c.self.Name,
+		Platform:  c.platform,
+		Directory: c.directory,
+		Dialer:    c.dialer,
+		Journal:   c.journal,
 	})
-	answers.Mount(p.peers)
-	view := newStatusView(p.loop.Now, p.held.rates)
-	p.loop.Handle(view.take)
+	explainer.Mount(c.peers)
+	view := newStatusView(c.loop.Now, c.throughput.rates)
+	c.loop.Handle(view.handle)
 	manager := configuration.New(configuration.Options{
-		Log:       p.log,
-		Self:      p.self,
-		Platform:  p.platform,
-		Directory: p.directory,
-		Dialer:    p.dialer,
-		Seeds:     p.settings.Peers.Seeds,
-		Extra:     []func(context.Context){answers.Run},
+		Log:       c.log,
+		Self:      c.self,
+		Platform:  c.platform,
+		Directory: c.directory,
+		Dialer:    c.dialer,
+		Seeds:     c.settings.Peers.Seeds,
+		Extra:     []func(context.Context){explainer.Run},
 		Sources:   []configuration.StatusSource{view},
 		Apply: func(set *config.Set) {
 			view.setConfig(set)
-			p.applyConfig(set)
+			c.applyConfig(set)
 		},
 	})
-	manager.Mount(p.peers)
+	manager.Mount(c.peers)
 	actors.AddContext(group, manager.Run)
 }
 
-// applyConfig brings a set in force for callers and decisions, and tells the
-// other VMs that it is.
-func (p *parts) applyConfig(set *config.Set) {
-	p.entry.ApplyConfig(set)
-	p.placement.Configure(set)
-	p.loop.Post(core.ConfigInForce{Set: set})
-	if self, ok := p.directory.Member(p.self.Name); ok {
+// applyConfig puts a configuration set in force for client requests, placement
+// and the core, and publishes its release in this VM's directory entry.
+func (c *components) applyConfig(set *config.Set) {
+	c.entry.ApplyConfig(set)
+	c.placement.Configure(set)
+	c.loop.Post(core.ConfigInForce{Set: set})
+	if self, ok := c.directory.Member(c.self.Name); ok {
 		self.Release = set.Release
-		p.directory.Put(self)
+		c.directory.Put(self)
 	}
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -15,29 +15,31 @@
 
 // Time limits at the end of a planned stop.
 const (
-	// truthTime is what forced requests have for telling their callers the truth.
-	truthTime = 2 * time.Second
-	// handOverTime bounds the hooks, such as the handing over of leases.
-	handOverTime = 5 * time.Second
+	// abortTimeout is the time that aborted requests have to report their
+	// execution state to their callers.
+	abortTimeout = 2 * time.Second
+	// drainHookTimeout bounds all drain hooks together, such as handing over leases.
+	drainHookTimeout = 5 * time.Second
 )
 
-// stopDuty is the planned stop: the balancer first, then the requests in
-// flight, then the leases. The other duties go on meanwhile, since without the
-// core in its loop no request could be finished.
-type stopDuty struct {
-	parts    *parts
-	callers  *http.Server
-	draining atomic.Bool
-	forced   <-chan struct{}
+// gracefulStop is the planned stop: it fails the load balancer's health check,
+// then drains the requests in flight, then hands over the leases. The other
+// actors keep running meanwhile, since no request can finish without the core's
+// loop.
+type gracefulStop struct {
+	components *components
+	callers    *http.Server
+	draining   atomic.Bool
+	forced     <-chan struct{}
 }
 
-func addStop(ctx context.Context, group *run.Group, p *parts, callers *http.Server, forced <-chan struct{}) {
-	d := &stopDuty{parts: p, callers: callers, forced: forced}
-	callers.Handler = d.closeWhenDraining(callers.Handler)
+func addGracefulStop(ctx context.Context, group *run.Group, c *components, callers *http.Server, forced <-chan struct{}) {
+	s := &gracefulStop{components: c, callers: callers, forced: forced}
+	callers.Handler = s.closeWhenDraining(callers.Handler)
 	actors.AddContext(group, func(stopped context.Context) error {
 		select {
 		case <-ctx.Done():
-			d.stop(stopped)
+			s.stop(stopped)
 			return ctx.Err()
 		case <-stopped.Done():
 			return stopped.Err()
@@ -45,55 +47,58 @@
 	})
 }
 
-// closeWhenDraining ends a caller's connection with the answer to its request
-// while the VM drains. A connection that is kept would be closed at the end of
-// the drain, at a moment when the caller may just be sending on it.
-func (d *stopDuty) closeWhenDraining(next http.Handler) http.Handler {
+// closeWhenDraining closes an HTTP/1 connection after the response while the VM
+// drains. An idle keep-alive connection would be closed at the end of the drain,
+// possibly just as the caller sends its next request.
+func (s *gracefulStop) closeWhenDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d.draining.Load() && r.ProtoMajor == 1 {
+		if s.draining.Load() && r.ProtoMajor == 1 {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (d *stopDuty) stop(stopped context.Context) {
-	p := d.parts
-	limit, cancel := context.WithTimeout(stopped, p.settings.Drain.Deadline)
+// stop runs the planned stop. A force signal, the drain deadline or the end of
+// stopped cuts it short.
+func (s *gracefulStop) stop(stopped context.Context) {
+	c := s.components
+	limit, cancel := context.WithTimeout(stopped, c.settings.Drain.Deadline)
 	defer cancel()
 	go func() {
 		select {
-		case <-d.forced:
+		case <-s.forced:
 			cancel()
 		case <-limit.Done():
 		}
 	}()
-	telemetry.VMStopping.Log(p.log)
-	d.draining.Store(true)
-	p.entry.BeginStop()
-	p.gossip.Leave()
-	if p.settings.Drain.BalancerDelay > 0 {
-		telemetry.VMDraining.Log(p.log, "delay", p.settings.Drain.BalancerDelay)
-		sleep(limit, p.settings.Drain.BalancerDelay)
+	telemetry.VMStopping.Log(c.log)
+	s.draining.Store(true)
+	c.entry.BeginStop()
+	c.gossip.Leave()
+	if c.settings.Drain.BalancerDelay > 0 {
+		telemetry.VMDraining.Log(c.log, "delay", c.settings.Drain.BalancerDelay)
+		sleep(limit, c.settings.Drain.BalancerDelay)
 	}
-	d.finish(limit)
-	ctx, done := context.WithTimeout(context.Background(), handOverTime)
+	s.drainRequests(limit)
+	ctx, done := context.WithTimeout(context.Background(), drainHookTimeout)
 	defer done()
-	p.drain.run(ctx)
+	c.drain.run(ctx)
 }
 
-// finish waits for the requests in flight. When the time is up, or a second
-// signal comes, it gives them up: each caller is told what ran.
-func (d *stopDuty) finish(limit context.Context) {
-	if d.callers.Shutdown(limit) == nil {
-		telemetry.VMDrained.Log(d.parts.log)
+// drainRequests waits for the requests in flight. When limit ends, at the
+// deadline or on a second signal, it aborts them: the error to each caller
+// reports whether the request ran.
+func (s *gracefulStop) drainRequests(limit context.Context) {
+	if s.callers.Shutdown(limit) == nil {
+		telemetry.VMDrained.Log(s.components.log)
 		return
 	}
-	telemetry.VMDrainForced.Log(d.parts.log, "inFlight", entry.InFlight())
-	d.parts.stopLoop()
-	ctx, cancel := context.WithTimeout(context.Background(), truthTime)
+	telemetry.VMDrainForced.Log(s.components.log, "inFlight", entry.InFlight())
+	s.components.stopLoop()
+	ctx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 	defer cancel()
-	_ = d.callers.Shutdown(ctx)
+	_ = s.callers.Shutdown(ctx)
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -22,192 +22,195 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// The keys under which a VM tells the others what it knows.
+// Prefixes of the keys of gossip entries.
 const (
-	// prefixOpinion is followed by a backend server's name; a fleet.Opinion as JSON.
+	// prefixOpinion + backend server name: a fleet.Opinion as JSON.
 	prefixOpinion = "s/"
-	// prefixHolding is followed by a backend server's name; a holding as JSON.
-	prefixHolding = "h/"
-	// prefixPoison is followed by what identifies a finding; a sharedFinding as JSON.
+	// prefixEngineState + backend server name: an engineState as JSON.
+	prefixEngineState = "h/"
+	// prefixPoison + identity of a finding: a sharedFinding as JSON.
 	prefixPoison = "p/"
-	// prefixUsage is followed by nothing; the data centre's use of accounts.
+	// prefixUsage is a whole key: the data centre's request rates by account, as
+	// encoded by encodeSummary.
 	prefixUsage = "u/"
-	// prefixHeld is followed by nothing; the data centre's tokens per second.
-	prefixHeld = "t/"
+	// prefixThroughput is a whole key: the data centre's tokens per second by pipeline,
+	// as encoded by encodeSummary.
+	prefixThroughput = "t/"
 )
 
-// tickInterval is the pace of everything here that lets time pass.
+// tickInterval is the period of all timed work of fleetMonitor.
 const tickInterval = time.Second
 
-// fleetDuty joins the talk between VMs, the probes of backend servers and the
-// core's judgement on them.
-type fleetDuty struct {
-	log       logr.Logger
-	self      string
-	dc        string
-	observers int
-	loop      *loop.Loop
-	gossip    *gossip.Gossip
-	prober    *probe.Prober
-	usage     *usageDuty
-	held      *heldDuty
-	poison    *poisonDuty
+// fleetMonitor connects the gossip between VMs and the probes of backend servers
+// with the core, which decides on the servers' states.
+type fleetMonitor struct {
+	log        logr.Logger
+	self       string
+	dataCentre string
+	observers  int
+	loop       *loop.Loop
+	gossip     *gossip.Gossip
+	prober     *probe.Prober
+	usage      *usageReporter
+	throughput *throughputTracker
+	poison     *poisonReporter
 
 	mu  sync.Mutex
 	set *config.Set
-	// names finds a backend server by the hash that gauges name it with.
+	// names maps the key hashes of gauges to backend server names.
 	names map[uint32]string
-	// watched are the servers that this VM probes for the others, leading those
-	// whose load it also reports.
-	watched map[string]bool
-	leading map[string]bool
-	// probing are the servers that this VM probes for whatever reason.
+	// observing are the servers that this VM probes as an assigned observer;
+	// reporting are those of them whose load and state it also publishes.
+	observing map[string]bool
+	reporting map[string]bool
+	// probing are all servers that this VM probes, assigned or suspect.
 	probing map[string]bool
-	// doubted are servers that somebody, or this VM, can't reach.
-	doubted  map[string]bool
-	degraded map[string]bool
-	holdings map[string]holding
-	// dirty asks for the probes to be shared out anew.
-	dirty bool
-	// others is the number of other VMs that live, and alone says that there
-	// were some and are none.
-	others int
-	alone  bool
+	// suspect are the servers that some VM, possibly this one, can't reach.
+	suspect      map[string]bool
+	degraded     map[string]bool
+	engineStates map[string]engineState
+	// assignmentStale requests a new assignment of probes on the next tick.
+	assignmentStale bool
+	// otherLive is the number of other live VMs. isolated is set when there were
+	// some and none is left.
+	otherLive int
+	isolated  bool
 }
 
-func addFleet(group *run.Group, p *parts) {
-	d := &fleetDuty{
-		log:       p.log,
-		self:      p.self.Name,
-		dc:        p.self.DataCentre,
-		observers: p.settings.Probe.Observers,
-		loop:      p.loop,
-		gossip:    p.gossip,
-		names:     make(map[uint32]string),
-		watched:   make(map[string]bool),
-		leading:   make(map[string]bool),
-		doubted:   make(map[string]bool),
-		degraded:  make(map[string]bool),
-		holdings:  make(map[string]holding),
-		usage:     newUsageDuty(p.gossip, p.loop, p.self.Name, p.self.DataCentre),
-		held:      p.held,
-		poison:    newPoisonDuty(p.gossip, p.loop),
+func addFleet(group *run.Group, c *components) {
+	m := &fleetMonitor{
+		log:          c.log,
+		self:         c.self.Name,
+		dataCentre:   c.self.DataCentre,
+		observers:    c.settings.Probe.Observers,
+		loop:         c.loop,
+		gossip:       c.gossip,
+		names:        make(map[uint32]string),
+		observing:    make(map[string]bool),
+		reporting:    make(map[string]bool),
+		suspect:      make(map[string]bool),
+		degraded:     make(map[string]bool),
+		engineStates: make(map[string]engineState),
+		usage:        newUsageReporter(c.gossip, c.loop, c.self.Name, c.self.DataCentre),
+		throughput:   c.throughput,
+		poison:       newPoisonReporter(c.gossip, c.loop),
 	}
-	d.prober = probe.New(probe.Options{
-		Engines:      engine.NewHTTPClientWithTimeout(engine.DefaultConnectTimeout, p.clock),
-		Clock:        p.clock,
-		Interval:     p.settings.Probe.Interval,
-		Timeout:      p.settings.Probe.Timeout,
-		MaxPerSecond: p.settings.Probe.MaxPerSecond,
-		Report:       d.probed,
+	m.prober = probe.New(probe.Options{
+		Engines:      engine.NewHTTPClientWithTimeout(engine.DefaultConnectTimeout, c.clock),
+		Clock:        c.clock,
+		Interval:     c.settings.Probe.Interval,
+		Timeout:      c.settings.Probe.Timeout,
+		MaxPerSecond: c.settings.Probe.MaxPerSecond,
+		Report:       m.onProbeResult,
 	})
-	d.subscribe()
-	p.peers.Handle(p.gossip.Handler())
-	actors.AddContext(group, p.gossip.Run)
-	actors.AddContext(group, d.poison.run)
-	actors.AddContext(group, d.prober.Run)
-	actors.AddContext(group, d.run)
+	m.subscribe()
+	c.peers.Handle(c.gossip.Handler())
+	actors.AddContext(group, c.gossip.Run)
+	actors.AddContext(group, m.poison.run)
+	actors.AddContext(group, m.prober.Run)
+	actors.AddContext(group, m.run)
 }
 
-func (d *fleetDuty) subscribe() {
-	d.loop.Observe(func(_ core.Time, event core.Event, _ []core.Action) {
+func (m *fleetMonitor) subscribe() {
+	m.loop.Observe(func(_ core.Time, event core.Event, _ []core.Action) {
 		if e, ok := event.(core.ConfigInForce); ok {
-			d.configured(e.Set)
+			m.onConfig(e.Set)
 		}
 	})
-	d.loop.Handle(d.act)
-	d.gossip.OnEntry(prefixOpinion, d.opinionHeard)
-	d.gossip.OnEntry(prefixHolding, d.holdingHeard)
-	d.gossip.OnEntry(prefixPoison, d.poison.heard)
-	d.gossip.OnEntry(prefixUsage, d.usage.summaryHeard)
-	d.gossip.OnEntry(prefixHeld, d.held.summaryHeard)
-	d.gossip.OnGauge(d.gaugeHeard)
-	d.gossip.OnVM(d.vmJudged)
+	m.loop.Handle(m.handle)
+	m.gossip.OnEntry(prefixOpinion, m.onOpinion)
+	m.gossip.OnEntry(prefixEngineState, m.onEngineState)
+	m.gossip.OnEntry(prefixPoison, m.poison.onFinding)
+	m.gossip.OnEntry(prefixUsage, m.usage.onSummary)
+	m.gossip.OnEntry(prefixThroughput, m.throughput.onSummary)
+	m.gossip.OnGauge(m.onGauge)
+	m.gossip.OnVM(m.onVMStatus)
 }
 
-// run lets time pass until ctx ends.
-func (d *fleetDuty) run(ctx context.Context) error {
+// run does the periodic work until ctx ends.
+func (m *fleetMonitor) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			d.loop.Post(core.FleetTick{Wall: time.Duration(time.Now().UnixNano())})
-			d.shareOut()
-			d.usage.tick()
-			d.held.tick(time.Now())
-			d.poison.tick(time.Now())
+			m.loop.Post(core.FleetTick{Wall: time.Duration(time.Now().UnixNano())})
+			m.assignProbes()
+			m.usage.tick()
+			m.throughput.tick(time.Now())
+			m.poison.tick(time.Now())
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// act carries out the core's actions. It is called by the core's loop and must not wait.
-func (d *fleetDuty) act(action core.Action) {
+// handle carries out the core's actions. The core's loop calls it; it must not block.
+func (m *fleetMonitor) handle(action core.Action) {
 	switch a := action.(type) {
 	case core.PublishOpinion:
-		d.spread(a.Opinion)
+		m.publishOpinion(a.Opinion)
 	case core.ProbeServer:
-		d.prober.Now(a.Server)
+		m.prober.Now(a.Server)
 	case core.ServerChanged:
-		d.serverJudged(a.Status)
+		m.onServerChanged(a.Status)
 	case core.ServerRestarted:
-		telemetry.ServerRestarted.Log(d.log, "server", a.Restart.Server, "before", a.Restart.Before,
+		telemetry.ServerRestarted.Log(m.log, "server", a.Restart.Server, "before", a.Restart.Before,
 			"after", a.Restart.After, "planned", a.Restart.Planned)
 	case core.ServerLeaving:
-		d.serverLeaving(a)
+		m.logServerLeaving(a)
 	case core.PublishPoisonFinding:
-		d.poison.spread(a.Finding)
+		m.poison.publish(a.Finding)
 	case core.PublishSuspicion:
-		d.poison.suspect(a.Finding)
+		m.poison.publishSuspicion(a.Finding)
 	case core.ConfirmSuspicion:
-		d.poison.confirm(a.Request)
+		m.poison.requestConfirmation(a.Request)
 	case core.LocalAccountUsage:
-		d.usage.here(a.Accounts)
+		m.usage.setLocalRates(a.Accounts)
 	}
 }
 
-func (d *fleetDuty) spread(opinion fleet.Opinion) {
+func (m *fleetMonitor) publishOpinion(opinion fleet.Opinion) {
 	var value []byte
 	if !opinion.Neutral() {
 		value = mustJSON(opinion)
 	}
-	d.gossip.Put(prefixOpinion+opinion.Server, value, true)
+	m.gossip.Put(prefixOpinion+opinion.Server, value, true)
 }
 
-func (d *fleetDuty) opinionHeard(entry gossip.Entry) {
+func (m *fleetMonitor) onOpinion(entry gossip.Entry) {
 	opinion := fleet.Opinion{}
 	if len(entry.Value) > 0 && json.Unmarshal(entry.Value, &opinion) != nil {
 		return
 	}
 	opinion.Server = entry.Key
-	d.loop.Post(core.ServerOpinion{Witness: entry.VM, Opinion: opinion})
+	m.loop.Post(core.ServerOpinion{Witness: entry.VM, Opinion: opinion})
 }
 
-// serverJudged logs a degraded state at its changes, the return included, and
-// has doubted servers probed.
-func (d *fleetDuty) serverJudged(status fleet.Status) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// onServerChanged logs changes to, within and out of a degraded state, and
+// requests a new assignment of probes when a server becomes suspect or recovers.
+func (m *fleetMonitor) onServerChanged(status fleet.Status) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	degraded := status.State != fleet.Live
-	if degraded || d.degraded[status.Server] {
-		telemetry.ServerJudged.Log(d.log, "server", status.Server, "state", status.State,
+	if degraded || m.degraded[status.Server] {
+		telemetry.ServerJudged.Log(m.log, "server", status.Server, "state", status.State,
 			"eligible", status.Eligible, "evidence", status.Evidence)
 	}
-	doubted := status.Unreachable || status.State == fleet.Suspect
-	d.dirty = d.dirty || doubted != d.doubted[status.Server]
-	setMember(d.degraded, status.Server, degraded)
-	setMember(d.doubted, status.Server, doubted)
+	suspect := status.Unreachable || status.State == fleet.Suspect
+	m.assignmentStale = m.assignmentStale || suspect != m.suspect[status.Server]
+	setMember(m.degraded, status.Server, degraded)
+	setMember(m.suspect, status.Server, suspect)
 }
 
-// serverLeaving logs how far a server that leaves by a deadline has come.
-func (d *fleetDuty) serverLeaving(leaving core.ServerLeaving) {
+// logServerLeaving logs the progress of moving streams off a server that leaves
+// by a deadline.
+func (m *fleetMonitor) logServerLeaving(leaving core.ServerLeaving) {
 	event := telemetry.StreamsMoving
 	if leaving.Phase == core.LeaveOverdue {
 		event = telemetry.LeaveOverdue
 	}
-	event.Log(d.log, "server", leaving.Server, "streams", leaving.Streams, "staying", leaving.Staying, "left", leaving.Left.String())
+	event.Log(m.log, "server", leaving.Server, "streams", leaving.Streams, "staying", leaving.Staying, "left", leaving.Left.String())
 }
 
 func setMember(set map[string]bool, name string, member bool) {
@@ -218,41 +221,42 @@
 	}
 }
 
-func (d *fleetDuty) vmJudged(vm fleet.VMStatus) {
-	telemetry.VMJudged.Log(d.log, "other", vm.Name, "dataCentre", vm.DataCentre, "state", vm.State)
+func (m *fleetMonitor) onVMStatus(vm fleet.VMStatus) {
+	telemetry.VMJudged.Log(m.log, "other", vm.Name, "dataCentre", vm.DataCentre, "state", vm.State)
 	if vm.State == fleet.Gone {
-		d.loop.Post(core.WitnessRemoved{Witness: vm.Name})
-		d.usage.forget(vm.Name)
-		d.held.forget(vm.Name)
+		m.loop.Post(core.WitnessRemoved{Witness: vm.Name})
+		m.usage.forget(vm.Name)
+		m.throughput.forget(vm.Name)
 	}
-	d.countVMs()
+	m.countVMs()
 }
 
-func (d *fleetDuty) countVMs() {
-	live, near := 0, 0
-	for dataCentre, names := range d.gossip.LiveVMs() {
+func (m *fleetMonitor) countVMs() {
+	live, local := 0, 0
+	for dataCentre, names := range m.gossip.LiveVMs() {
 		live += len(names)
-		if dataCentre == d.dc {
-			near = len(names)
+		if dataCentre == m.dataCentre {
+			local = len(names)
 		}
 	}
-	d.usage.setLive(live, near)
-	metrics.GetOrCreateGauge(fmt.Sprintf(`oleandershunt_fleet_live_vms{vm=%q}`, d.self), nil).Set(float64(live))
-	d.loop.Post(core.VMsCounted{Live: live})
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.dirty = true
-	alone := live == 1 && (d.others > 0 || d.alone)
-	if alone && !d.alone {
-		telemetry.CutOffFromVMs.Log(d.log)
+	m.usage.setLiveVMs(live, local)
+	metrics.GetOrCreateGauge(fmt.Sprintf(`oleandershunt_fleet_live_vms{vm=%q}`, m.self), nil).Set(float64(live))
+	m.loop.Post(core.VMsCounted{Live: live})
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.assignmentStale = true
+	isolated := live == 1 && (m.otherLive > 0 || m.isolated)
+	if isolated && !m.isolated {
+		telemetry.CutOffFromVMs.Log(m.log)
 	}
-	if !alone && d.alone {
-		telemetry.BackWithVMs.Log(d.log, "live", live)
+	if !isolated && m.isolated {
+		telemetry.BackWithVMs.Log(m.log, "live", live)
 	}
-	d.others, d.alone = live-1, alone
+	m.otherLive, m.isolated = live-1, isolated
 }
 
-// mustJSON encodes values of this package's own types, which always can be.
+// mustJSON encodes values of this package's own types. It panics on an error,
+// which these types can't cause.
 func mustJSON(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
--- a/internal/node/fleet_poison.go
+++ b/internal/node/fleet_poison.go
@@ -13,112 +13,114 @@
 	"oleandershunt.example/oleandershunt/internal/peer/gossip"
 )
 
-// findingKept is how long a finding is told to VMs that start later.
-const findingKept = 15 * time.Minute
+// findingTTL is how long a finding stays in the gossip, for VMs that start later.
+const findingTTL = 15 * time.Minute
 
-// confirmTime is how long the other VMs have to answer an exchange.
-const confirmTime = 250 * time.Millisecond
+// confirmTimeout bounds one gossip exchange with all other VMs.
+const confirmTimeout = 250 * time.Millisecond
 
-// sharedFinding is a finding on its way between VMs, whose clocks agree only
-// roughly; its age is good to within their difference.
+// sharedFinding is a finding as sent between VMs. The age that a receiver
+// computes is off by the difference between the two VMs' clocks.
 type sharedFinding struct {
 	Finding core.PoisonFinding `json:"finding"`
-	// At is when the crash was, in milliseconds since 1970.
+	// At is the time of the crash in milliseconds since 1970.
 	At int64 `json:"at"`
 }
 
-// poisonDuty spreads findings on bodies that crash backend servers.
-type poisonDuty struct {
+// poisonReporter publishes findings on request bodies that crash backend servers.
+type poisonReporter struct {
 	gossip *gossip.Gossip
 	loop   *loop.Loop
 
-	mu   sync.Mutex
-	told map[string]time.Time
-	// asking are the requests that wait for the next exchange, and wanted says
-	// that one is due.
-	asking []request.ID
-	wanted chan struct{}
+	mu        sync.Mutex
+	published map[string]time.Time
+	// awaiting are the requests that wait for the next exchange; exchangeDue
+	// triggers it.
+	awaiting    []request.ID
+	exchangeDue chan struct{}
 }
 
-func newPoisonDuty(g *gossip.Gossip, l *loop.Loop) *poisonDuty {
-	return &poisonDuty{gossip: g, loop: l, told: make(map[string]time.Time), wanted: make(chan struct{}, 1)}
+func newPoisonReporter(g *gossip.Gossip, l *loop.Loop) *poisonReporter {
+	return &poisonReporter{gossip: g, loop: l, published: make(map[string]time.Time), exchangeDue: make(chan struct{}, 1)}
 }
 
-func (d *poisonDuty) spread(finding core.PoisonFinding) {
+func (r *poisonReporter) publish(finding core.PoisonFinding) {
 	now := time.Now()
 	key := fmt.Sprintf("%s%s/%s/%x/%s", prefixPoison, finding.Account, finding.Pipeline, finding.BodyHash, finding.Server)
-	d.mu.Lock()
-	d.told[key] = now
-	d.mu.Unlock()
-	d.gossip.Put(key, mustJSON(sharedFinding{Finding: finding, At: now.Add(-finding.Age).UnixMilli()}), true)
+	r.mu.Lock()
+	r.published[key] = now
+	r.mu.Unlock()
+	r.gossip.Put(key, mustJSON(sharedFinding{Finding: finding, At: now.Add(-finding.Age).UnixMilli()}), true)
 }
 
-// suspect spreads a loss that isn't proven. The push goes to some VMs only, so
-// an exchange with all of them follows.
-func (d *poisonDuty) suspect(finding core.PoisonFinding) {
-	d.spread(finding)
-	d.want()
+// publishSuspicion publishes a finding that isn't proven yet. The gossip push
+// reaches only some VMs, so it also requests an exchange with all of them.
+func (r *poisonReporter) publishSuspicion(finding core.PoisonFinding) {
+	r.publish(finding)
+	r.requestExchange()
 }
 
-// confirm has the next exchange answer a request.
-func (d *poisonDuty) confirm(id request.ID) {
-	d.mu.Lock()
-	d.asking = append(d.asking, id)
-	d.mu.Unlock()
-	d.want()
+// requestConfirmation makes the next exchange post SuspicionConfirmed for a request.
+func (r *poisonReporter) requestConfirmation(id request.ID) {
+	r.mu.Lock()
+	r.awaiting = append(r.awaiting, id)
+	r.mu.Unlock()
+	r.requestExchange()
 }
 
-func (d *poisonDuty) want() {
+func (r *poisonReporter) requestExchange() {
 	select {
-	case d.wanted <- struct{}{}:
+	case r.exchangeDue <- struct{}{}:
 	default:
 	}
 }
 
-// run makes one exchange at a time until ctx ends. What is asked meanwhile has
-// the next one in common: a server's loss concerns hundreds of requests.
-func (d *poisonDuty) run(ctx context.Context) error {
+// run makes one exchange at a time until ctx ends. Requests that arrive during an
+// exchange share the next one, since the loss of a server affects hundreds of
+// requests at once.
+func (r *poisonReporter) run(ctx context.Context) error {
 	for {
 		select {
-		case <-d.wanted:
-			d.exchange(ctx)
+		case <-r.exchangeDue:
+			r.exchange(ctx)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-func (d *poisonDuty) exchange(ctx context.Context) {
-	d.mu.Lock()
-	asking := d.asking
-	d.asking = nil
-	d.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, confirmTime)
+func (r *poisonReporter) exchange(ctx context.Context) {
+	r.mu.Lock()
+	awaiting := r.awaiting
+	r.awaiting = nil
+	r.mu.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	missing := d.gossip.Confirm(ctx)
-	for _, id := range asking {
-		d.loop.Post(core.SuspicionConfirmed{Request: id, Missing: missing})
+	missing := r.gossip.Confirm(ctx)
+	for _, id := range awaiting {
+		r.loop.Post(core.SuspicionConfirmed{Request: id, Missing: missing})
 	}
 }
 
-func (d *poisonDuty) heard(entry gossip.Entry) {
+func (r *poisonReporter) onFinding(entry gossip.Entry) {
 	var shared sharedFinding
 	if len(entry.Value) == 0 || json.Unmarshal(entry.Value, &shared) != nil {
 		return
 	}
 	age := time.Since(time.UnixMilli(shared.At))
-	shared.Finding.Age = min(max(age, shared.Finding.Age, 0), findingKept)
-	d.loop.Post(core.PoisonFindingReceived{Finding: shared.Finding})
+	shared.Finding.Age = min(max(age, shared.Finding.Age, 0), findingTTL)
+	r.loop.Post(core.PoisonFindingReceived{Finding: shared.Finding})
 }
 
-// tick withdraws what is old. The VMs that took it forget it by their own rule.
-func (d *poisonDuty) tick(now time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for key, told := range d.told {
-		if now.Sub(told) > findingKept {
-			delete(d.told, key)
-			d.gossip.Put(key, nil, false)
+// tick withdraws findings older than findingTTL. Receivers expire them by their
+// own rule.
+func (r *poisonReporter) tick(now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for key, publishedAt := range r.published {
+		if now.Sub(publishedAt) > findingTTL {
+			delete(r.published, key)
+			r.gossip.Put(key, nil, false)
 		}
 	}
 }
--- a/internal/node/fleet_servers.go
+++ b/internal/node/fleet_servers.go
@@ -15,97 +15,99 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// holding is what a model engine holds: it changes seldom, unlike its load.
-type holding struct {
+// engineState is the part of a model engine's state that changes rarely, unlike
+// its load.
+type engineState struct {
 	Incarnation uint64     `json:"incarnation"`
 	Model       string     `json:"model,omitempty"`
 	Version     string     `json:"version,omitempty"`
 	Layers      api.Layers `json:"layers,omitzero"`
 	Leaving     bool       `json:"leaving,omitempty"`
-	// LeaveByMillis is when it stops, as the engine's protocol says it.
+	// LeaveByMillis is the engine's stop time, in the form of the engine protocol.
 	LeaveByMillis int64 `json:"leaveByMillis,omitempty"`
-	// witness is the VM that says so.
+	// witness is the VM that reported the state.
 	witness string
 }
 
-func (h holding) observed(server string) core.ServerObserved {
+func (state engineState) observation(server string) core.ServerObserved {
 	return core.ServerObserved{
-		Server: server, Incarnation: h.Incarnation, Model: h.Model, Version: h.Version,
-		Layers: h.Layers, Leaving: h.Leaving, Witness: h.witness,
-		LeaveBy: time.Duration(h.LeaveByMillis) * time.Millisecond,
+		Server: server, Incarnation: state.Incarnation, Model: state.Model, Version: state.Version,
+		Layers: state.Layers, Leaving: state.Leaving, Witness: state.witness,
+		LeaveBy: time.Duration(state.LeaveByMillis) * time.Millisecond,
 	}
 }
 
-// configured takes the configuration in force. It is called by the core's loop
-// and must not wait.
-func (d *fleetDuty) configured(set *config.Set) {
-	d.gossip.SetRelease(set.Release)
-	d.usage.configured(set)
-	d.held.configured(set)
+// onConfig takes over the configuration in force. The core's loop calls it; it
+// must not block.
+func (m *fleetMonitor) onConfig(set *config.Set) {
+	m.gossip.SetRelease(set.Release)
+	m.usage.onConfig(set)
+	m.throughput.onConfig(set)
 	names := make(map[uint32]string)
 	for _, server := range set.Servers() {
 		names[digest.KeyHash(server.Name)] = server.Name
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.set, d.names, d.dirty = set, names, true
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.set, m.names, m.assignmentStale = set, names, true
 }
 
-// shareOut finds the servers that this VM is to probe, if anything changed.
-func (d *fleetDuty) shareOut() {
-	live := d.gossip.LiveVMs()
-	for _, name := range d.shareOutAmong(live) {
-		d.loop.Post(core.ServerProbingStopped{Server: name})
+// assignProbes recomputes which servers this VM probes, if anything changed.
+func (m *fleetMonitor) assignProbes() {
+	live := m.gossip.LiveVMs()
+	for _, name := range m.assignProbesAmong(live) {
+		m.loop.Post(core.ServerProbingStopped{Server: name})
 	}
 }
 
-// shareOutAmong returns the servers that this VM no longer probes.
-func (d *fleetDuty) shareOutAmong(live map[string][]string) (unwatched []string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.dirty || d.set == nil {
+// assignProbesAmong assigns the probes among the live VMs, given by data centre,
+// and returns the servers that this VM no longer probes.
+func (m *fleetMonitor) assignProbesAmong(live map[string][]string) (dropped []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.assignmentStale || m.set == nil {
 		return nil
 	}
-	d.dirty = false
-	before, probedBefore := d.leading, d.probing
-	d.watched, d.leading, d.probing = make(map[string]bool), make(map[string]bool), make(map[string]bool)
+	m.assignmentStale = false
+	reportedBefore, probedBefore := m.reporting, m.probing
+	m.observing, m.reporting, m.probing = make(map[string]bool), make(map[string]bool), make(map[string]bool)
 	var targets []probe.Target
-	for _, server := range d.set.Servers() {
+	for _, server := range m.set.Servers() {
 		target := probe.Target{Name: server.Name, Address: server.Address, Service: server.Service != ""}
-		watchers := fleet.Observers(server.Name, watchersOf(live, server.DataCentre), d.observers)
+		observers := fleet.Observers(server.Name, observerCandidates(live, server.DataCentre), m.observers)
 		switch {
-		case slices.Contains(watchers, d.self):
-			d.watched[server.Name] = true
-			if watchers[0] == d.self {
-				d.leading[server.Name] = true
+		case slices.Contains(observers, m.self):
+			m.observing[server.Name] = true
+			if observers[0] == m.self {
+				m.reporting[server.Name] = true
 			}
-		case d.doubted[server.Name]:
+		case m.suspect[server.Name]:
 			target.Rare = true
 		default:
 			continue
 		}
 		targets = append(targets, target)
-		d.probing[server.Name] = true
+		m.probing[server.Name] = true
 	}
 	for name := range probedBefore {
-		if !d.probing[name] {
-			unwatched = append(unwatched, name)
+		if !m.probing[name] {
+			dropped = append(dropped, name)
 		}
 	}
-	for name := range before {
-		if !d.leading[name] {
-			d.gossip.DropGauge(digest.KeyHash(name))
-			d.gossip.Put(prefixHolding+name, nil, false)
+	for name := range reportedBefore {
+		if !m.reporting[name] {
+			m.gossip.DropGauge(digest.KeyHash(name))
+			m.gossip.Put(prefixEngineState+name, nil, false)
 		}
 	}
-	d.prober.SetTargets(targets)
-	slices.Sort(unwatched)
-	return unwatched
+	m.prober.SetTargets(targets)
+	slices.Sort(dropped)
+	return dropped
 }
 
-// watchersOf lists the VMs which can watch the servers of a data centre: its
-// own, or all when it has none that live.
-func watchersOf(live map[string][]string, dataCentre string) []string {
+// observerCandidates lists the VMs that can observe the servers of a data centre:
+// the live VMs of that data centre, or all live VMs if it has none.
+func observerCandidates(live map[string][]string, dataCentre string) []string {
 	if names := live[dataCentre]; len(names) > 0 {
 		return names
 	}
@@ -116,82 +118,84 @@
 	return all
 }
 
-// probed takes the end of a probe.
-func (d *fleetDuty) probed(result probe.Result) {
+// onProbeResult posts the result of a probe to the core and, if this VM reports
+// the server, publishes the engine's load and state.
+func (m *fleetMonitor) onProbeResult(result probe.Result) {
 	name := result.Target.Name
-	d.mu.Lock()
-	probing, leads := d.probing[name], d.leading[name]
-	d.mu.Unlock()
+	m.mu.Lock()
+	probing, reporting := m.probing[name], m.reporting[name]
+	m.mu.Unlock()
 	if !probing {
-		// The end of a probe that began before it became another VM's task.
+		// The probe began before the server was assigned to another VM.
 		return
 	}
 	if result.Misplaced {
-		telemetry.ServerMisplaced.Log(d.log, "server", name, "address", result.Target.Address, "answers", result.Capabilities.Server)
+		telemetry.ServerMisplaced.Log(m.log, "server", name, "address", result.Target.Address, "answers", result.Capabilities.Server)
 	}
 	if result.Err != nil || result.Misplaced {
-		d.loop.Post(core.ServerProbeFailed{Server: name, Witness: d.self, Refused: result.Refused})
+		m.loop.Post(core.ServerProbeFailed{Server: name, Witness: m.self, Refused: result.Refused})
 		return
 	}
 	c := result.Capabilities
-	h := holding{
+	state := engineState{
 		Incarnation: c.Incarnation, Model: c.Model, Version: c.Version,
-		Layers: c.Layers, Leaving: c.Leaving, LeaveByMillis: c.LeaveByMillis, witness: d.self,
+		Layers: c.Layers, Leaving: c.Leaving, LeaveByMillis: c.LeaveByMillis, witness: m.self,
 	}
-	observed := h.observed(name)
+	observed := state.observation(name)
 	observed.Running, observed.Waiting = c.Running, c.Waiting
-	d.loop.Post(observed)
-	if leads && !result.Target.Service {
-		d.gossip.PutGauge(digest.KeyHash(name), gossip.Pair(c.Running, c.Waiting))
-		d.gossip.Put(prefixHolding+name, mustJSON(h), false)
+	m.loop.Post(observed)
+	if reporting && !result.Target.Service {
+		m.gossip.PutGauge(digest.KeyHash(name), gossip.Pair(c.Running, c.Waiting))
+		m.gossip.Put(prefixEngineState+name, mustJSON(state), false)
 	}
 }
 
-// holdingHeard takes what another VM says that a server holds.
-func (d *fleetDuty) holdingHeard(entry gossip.Entry) {
-	var h holding
-	if len(entry.Value) > 0 && json.Unmarshal(entry.Value, &h) != nil {
+// onEngineState takes over a server's state as reported by another VM.
+func (m *fleetMonitor) onEngineState(entry gossip.Entry) {
+	var state engineState
+	if len(entry.Value) > 0 && json.Unmarshal(entry.Value, &state) != nil {
 		return
 	}
-	h.witness = entry.VM
-	d.mu.Lock()
+	state.witness = entry.VM
+	m.mu.Lock()
 	if len(entry.Value) == 0 {
-		// The next VM in the ranking says it from now on.
-		if d.holdings[entry.Key].witness == entry.VM {
-			delete(d.holdings, entry.Key)
+		// The next VM in the ranking reports the state from now on.
+		if m.engineStates[entry.Key].witness == entry.VM {
+			delete(m.engineStates, entry.Key)
 		}
-		d.mu.Unlock()
+		m.mu.Unlock()
 		return
 	}
-	d.holdings[entry.Key] = h
-	watched := d.watched[entry.Key]
-	d.mu.Unlock()
-	if !watched {
-		observed := h.observed(entry.Key)
+	m.engineStates[entry.Key] = state
+	observing := m.observing[entry.Key]
+	m.mu.Unlock()
+	if !observing {
+		observed := state.observation(entry.Key)
 		observed.LoadUnknown = true
-		d.loop.Post(observed)
+		m.loop.Post(observed)
 	}
 }
 
-// gaugeHeard takes a load that another VM reports, or a rate of a pipeline or an account.
-func (d *fleetDuty) gaugeHeard(gauge gossip.Gauge) {
-	d.mu.Lock()
-	name, ok := d.names[gauge.Key]
-	h, held := d.holdings[name]
-	watched := d.watched[name]
-	d.mu.Unlock()
+// onGauge takes over a gauge of another VM: the load of a server, or the rate of
+// a pipeline or an account.
+func (m *fleetMonitor) onGauge(gauge gossip.Gauge) {
+	m.mu.Lock()
+	name, ok := m.names[gauge.Key]
+	state, known := m.engineStates[name]
+	observing := m.observing[name]
+	m.mu.Unlock()
 	if !ok {
-		if !d.held.gaugeHeard(gauge) {
-			d.usage.gaugeHeard(gauge)
+		if !m.throughput.onGauge(gauge) {
+			m.usage.onGauge(gauge)
 		}
 		return
 	}
-	if watched || !held {
+	if observing || !known {
 		return
 	}
-	observed := h.observed(name)
+	observed := state.observation(name)
 	observed.Witness = gauge.VM
 	observed.Age = gauge.Age + time.Second/2
 	observed.Running, observed.Waiting = gossip.Counts(gauge.Level)
-	d.loop.Post(observed)
+	m.loop.Post(observed)
 }
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -23,21 +23,22 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// kindMember is the platform's kind of object in which each VM says where it is.
+// kindMember is the kind of the platform objects in which VMs publish their addresses.
 const kindMember = "Member"
 
-// The pace of calls to the platform. Both lists grow with the fleet, so the
-// time between two reads does too: their bytes per second stay the same.
+// Intervals between calls to the platform. Both lists grow with the fleet, so the
+// interval between two reads does too; this keeps the bytes per second constant.
 const (
-	memberInterval     = 2 * time.Second
-	memberIntervalEach = 250 * time.Millisecond
-	listInterval       = 2 * time.Second
-	listIntervalEach   = 80 * time.Millisecond
-	// deadMemberKept is how long the object of a VM that is gone is left alone.
-	deadMemberKept = 5 * time.Minute
+	memberInterval          = 2 * time.Second
+	memberIntervalPerMember = 250 * time.Millisecond
+	listInterval            = 2 * time.Second
+	listIntervalPerVM       = 80 * time.Millisecond
+	// deadMemberRetention is how long the object of a VM that is gone is kept.
+	deadMemberRetention = 5 * time.Minute
 )
 
-// contacts are addresses at which VMs may be found. Any of them may be stale.
+// contacts are addresses at which VMs may be reached: the configured seeds and
+// those listed in the platform. Any of them may be stale.
 type contacts struct {
 	seeds []string
 
@@ -59,9 +60,10 @@
 	c.listed = listed
 }
 
-// membership publishes this VM in the platform, learns the addresses of others
-// from it and reads its list of VMs. All of it may lag or be down: it only gives
-// the gossip somebody to start with, and the core one more witness.
+// membership publishes this VM in the platform, and reads from it the addresses of
+// other VMs and the platform's list of VMs. The platform may lag or be down: its
+// data is only the gossip's initial contacts, and one more source of evidence for
+// the core.
 type membership struct {
 	log       logr.Logger
 	platform  *platform.Client
@@ -70,31 +72,35 @@
 	gossip    *gossip.Gossip
 	loop      *loop.Loop
 	self      peer.Member
-	// publishing guards the version of this VM's object, 0 when it isn't
-	// published, and withdrawn, after which it must not be published again.
-	publishing sync.Mutex
-	version    history.Version
-	withdrawn  bool
-	// missing is since when a VM with an object has been missing in the directory.
-	missing map[string]time.Time
-	listed  []fleet.PlatformEntry
-	lost    bool
+	// publishMu guards version, which is 0 while this VM's object isn't
+	// published, and withdrawn, after which it must not be published again. It is
+	// held during the calls to the platform.
+	publishMu sync.Mutex
+	version   history.Version
+	withdrawn bool
+	// missingSince is the time since which a VM with an object has been missing
+	// from the directory.
+	missingSince map[string]time.Time
+	listed       []fleet.PlatformEntry
+	// listUnavailable is set while the platform's list of VMs can't be read.
+	listUnavailable bool
 }
 
-func addMembership(group *run.Group, p *parts) {
+func addMembership(group *run.Group, c *components) {
 	m := &membership{
-		log:       p.log,
-		platform:  p.platform,
-		directory: p.directory,
-		contacts:  p.contacts,
-		gossip:    p.gossip,
-		loop:      p.loop,
-		self:      p.self,
-		missing:   make(map[string]time.Time),
-	}
-	// Registered before the hooks of duties that are added later, it runs after them.
-	p.drain.OnDrain(func(ctx context.Context) {
-		p.gossip.Left(ctx)
+		log:          c.log,
+		platform:     c.platform,
+		directory:    c.directory,
+		contacts:     c.contacts,
+		gossip:       c.gossip,
+		loop:         c.loop,
+		self:         c.self,
+		missingSince: make(map[string]time.Time),
+	}
+	// Hooks run in reverse order, so this one runs after those of actors that are
+	// added later.
+	c.drain.OnDrain(func(ctx context.Context) {
+		c.gossip.Left(ctx)
 		m.withdraw(ctx)
 	})
 	actors.AddContext(group, func(ctx context.Context) error {
@@ -105,8 +111,8 @@
 	})
 }
 
-// repeat calls a function until ctx ends, each time after about the time that
-// the former call returned.
+// repeat calls a function until ctx ends. The delay before the next call is the
+// duration that the last one returned, with a jitter of 50%.
 func repeat(ctx context.Context, call func() time.Duration) error {
 	for {
 		wait := call()
@@ -117,10 +123,13 @@
 	}
 }
 
+// refreshMembers publishes this VM if it isn't published, reads the addresses of
+// the other VMs, and returns the time until the next read.
 func (m *membership) refreshMembers(ctx context.Context) time.Duration {
 	if m.unpublished() {
-		// Before the list: of two VMs that start together one then sees the
-		// other. Neither would if both listed first, until the next time.
+		// Publish before listing, so that of two VMs that start at the same time
+		// at least one sees the other. If both listed first, neither would see the
+		// other until the next refresh.
 		_ = m.publish(ctx)
 	}
 	list, err := m.platform.List(ctx, kindMember, "")
@@ -139,26 +148,27 @@
 			continue
 		}
 		addresses = append(addresses, member.Address)
-		m.clean(ctx, object, member)
+		m.deleteIfDead(ctx, object, member)
 	}
 	m.contacts.set(addresses)
 	m.gossip.Meet(ctx)
 	if !found {
 		_ = m.publish(ctx)
 	}
-	return memberInterval + time.Duration(len(list.Items))*memberIntervalEach
+	return memberInterval + time.Duration(len(list.Items))*memberIntervalPerMember
 }
 
 func (m *membership) unpublished() bool {
-	m.publishing.Lock()
-	defer m.publishing.Unlock()
+	m.publishMu.Lock()
+	defer m.publishMu.Unlock()
 	return m.version == 0
 }
 
-// publish writes this VM's object over that of an earlier process under the name.
+// publish writes this VM's object, replacing that of an earlier process of the
+// same name.
 func (m *membership) publish(ctx context.Context) error {
-	m.publishing.Lock()
-	defer m.publishing.Unlock()
+	m.publishMu.Lock()
+	defer m.publishMu.Unlock()
 	if m.withdrawn {
 		return nil
 	}
@@ -177,64 +187,67 @@
 
 // withdraw deletes this VM's object after a planned stop.
 func (m *membership) withdraw(ctx context.Context) {
-	m.publishing.Lock()
-	defer m.publishing.Unlock()
+	m.publishMu.Lock()
+	defer m.publishMu.Unlock()
 	m.withdrawn = true
 	if m.version != 0 {
 		_ = m.platform.Delete(ctx, kindMember, m.self.Name, m.version)
 	}
 }
 
-// clean deletes the object of a VM that has been gone for long. VMs that are
-// killed leave theirs behind, and hundreds are replaced each day. One VM does
-// it; should it be wrong, the VM concerned publishes itself again.
-func (m *membership) clean(ctx context.Context, object platform.Object, member peer.Member) {
-	if _, listed := m.directory.Member(member.Name); listed {
-		delete(m.missing, member.Name)
+// deleteIfDead deletes the object of a VM that has been gone for
+// deadMemberRetention. Killed VMs leave their objects behind, and hundreds of VMs
+// are replaced each day. One VM does it; if the VM was alive after all, it
+// publishes itself again.
+func (m *membership) deleteIfDead(ctx context.Context, object platform.Object, member peer.Member) {
+	if _, known := m.directory.Member(member.Name); known {
+		delete(m.missingSince, member.Name)
 		return
 	}
-	since, ok := m.missing[member.Name]
+	since, ok := m.missingSince[member.Name]
 	if !ok {
-		m.missing[member.Name] = time.Now()
+		m.missingSince[member.Name] = time.Now()
 		return
 	}
-	if time.Since(since) < deadMemberKept || !m.cleans(member) {
+	if time.Since(since) < deadMemberRetention || !m.responsibleFor(member) {
 		return
 	}
-	delete(m.missing, member.Name)
+	delete(m.missingSince, member.Name)
 	_ = m.platform.Delete(ctx, kindMember, member.Name, object.Version)
 }
 
-// cleans tells whether this VM is the one to delete a VM's object: one of the
-// same data centre, since only there is it known for sure to be gone.
-func (m *membership) cleans(member peer.Member) bool {
-	var near []string
+// responsibleFor reports whether this VM is the one to delete a VM's object. It is
+// chosen among the VMs of the same data centre, since only these know for sure
+// that the VM is gone.
+func (m *membership) responsibleFor(member peer.Member) bool {
+	var candidates []string
 	for _, other := range m.directory.Members() {
 		if other.DataCentre == member.DataCentre {
-			near = append(near, other.Name)
+			candidates = append(candidates, other.Name)
 		}
 	}
-	chosen := fleet.Observers(member.Name, near, 1)
+	chosen := fleet.Observers(member.Name, candidates, 1)
 	return len(chosen) == 1 && chosen[0] == m.self.Name
 }
 
-// refreshList reads the platform's list of VMs, which names backend servers as well.
+// refreshList reads the platform's list of VMs, which includes the backend
+// servers, and returns the time until the next read.
 func (m *membership) refreshList(ctx context.Context) time.Duration {
 	vms, err := m.platform.VMs(ctx)
 	if ctx.Err() != nil {
 		return listInterval
 	}
 	if err != nil {
-		if !m.lost {
+		if !m.listUnavailable {
 			telemetry.ListLost.Fail(m.log, err)
 		}
-		m.lost = true
+		m.listUnavailable = true
 		return listInterval
 	}
-	if m.lost {
+	if m.listUnavailable {
 		telemetry.ListBack.Log(m.log)
 	}
-	m.lost = false
+	m.listUnavailable = false
 	listed := make([]fleet.PlatformEntry, 0, len(vms))
 	for _, vm := range vms {
 		listed = append(listed, fleet.PlatformEntry{Name: vm.Name, Leaving: vm.State == platform.VMLeaving})
@@ -243,5 +256,5 @@
 		m.listed = listed
 		m.loop.Post(core.PlatformListed{Servers: listed})
 	}
-	return listInterval + time.Duration(len(vms))*listIntervalEach
+	return listInterval + time.Duration(len(vms))*listIntervalPerVM
 }
