--- a/internal/entry/attempt.go
+++ b/internal/entry/attempt.go
@@ -10,23 +10,24 @@
 	"oleandershunt.example/oleandershunt/internal/engine"
 )
 
-// errMoved ends an attempt whose stream moves to other servers. A frame that has
-// come only in part is dropped, so the attempt ends between two tokens.
-var errMoved = errors.New("stream moves: it goes on at other servers")
+// errMoved cancels an attempt whose stream moves to other servers. A partly
+// received frame is dropped, so that the attempt ends between two tokens.
+var errMoved = errors.New("stream moved to other servers")
 
-// completion is a request for tokens.
+// completion is a completion request in progress.
 type completion struct {
-	server  *Server
-	arrived core.RequestArrived
-	body    completionRequest
-	answer  answerWriter
-	// tokens are those delivered by all attempts so far.
+	server   *Server
+	arrived  core.RequestArrived
+	body     completionRequest
+	response responseWriter
+	// tokens are the token IDs counter by all attempts so far.
 	tokens []uint32
 }
 
-func (c *completion) refuse(problem *Problem) { c.answer.refuse(problem) }
+func (c *completion) refuse(problem *Problem) { c.response.refuse(problem) }
 
-// attempt relays one attempt's tokens.
+// attempt runs one attempt: it opens a stream at the engines and relays its
+// tokens to the caller.
 func (c *completion) attempt(ctx context.Context, dispatch core.Dispatch) attemptResult {
 	ctx, endSpan := startAttemptSpan(ctx, dispatch)
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -36,72 +37,73 @@
 			cancel(errMoved)
 		}
 	})()
-	silence := c.server.newWatch(dispatch, c.arrived.PromptTokens+len(c.tokens), cancel)
-	defer silence.stop()
-	result := c.relay(ctx, dispatch, silence)
+	detector := c.server.newStallDetector(dispatch, c.arrived.PromptTokens+len(c.tokens), cancel)
+	defer detector.stop()
+	result := c.relay(ctx, dispatch, detector)
 	result.tokens = len(c.tokens)
 	endSpan(result)
 	return result
 }
 
-func (c *completion) relay(ctx context.Context, dispatch core.Dispatch, silence *watch) attemptResult {
+func (c *completion) relay(ctx context.Context, dispatch core.Dispatch, detector *stallDetector) attemptResult {
 	first := dispatch.Path[0].Server
 	expect := engine.ExpectationOf(dispatch)
 	stream, err := c.server.engines.Open(ctx, c.attemptRequest(dispatch, expect.Path))
 	if err != nil {
-		return brokenAttempt(ctx, openOutcome(err), first)
+		return failedAttempt(ctx, openOutcome(err), first)
 	}
 	defer stream.Close()
-	result := c.deliver(ctx, stream, dispatch, expect, silence)
+	result := c.deliver(ctx, stream, dispatch, expect, detector)
 	if result.outcome != request.Completed {
 		c.server.cancelAttempt(dispatch)
 	}
 	return result
 }
 
-// deliver passes the stream's tokens on until it ends.
-func (c *completion) deliver(ctx context.Context, stream engine.Stream, dispatch core.Dispatch, expect *engine.Expectation, silence *watch) attemptResult {
+// deliver relays the stream's tokens to the caller until the stream ends.
+func (c *completion) deliver(ctx context.Context, stream engine.Stream, dispatch core.Dispatch, expect *engine.Expectation, detector *stallDetector) attemptResult {
 	first := expect.Path[0].Server
-	delivered := c.server.delivered.of(c.arrived.Pipeline)
+	counter := c.server.tokenCounters.counter(c.arrived.Pipeline)
 	for {
-		waits := !stream.More()
-		silence.await()
+		waited := !stream.More()
+		detector.beginWait()
 		frame, err := stream.Next()
 		if err != nil {
-			return brokenAttempt(ctx, streamOutcome(err), first)
+			return failedAttempt(ctx, streamOutcome(err), first)
 		}
-		silence.arrived(waits)
+		detector.endWait(waited)
 		judgement, server := expect.Judge(frame)
 		switch judgement {
 		case engine.FrameForeign:
-			countForeign(first)
+			countForeignFrame(first)
 			continue
 		case engine.FrameFault:
-			return attemptResult{outcome: request.Interrupted, server: onPath(expect, server)}
+			return attemptResult{outcome: request.Interrupted, server: faultyServer(expect, server)}
 		case engine.FrameFinish:
 			return c.finish(frame)
 		case engine.FrameUnproven:
 			countBadReceipt(server)
 			return attemptResult{outcome: request.BadReceipt, server: server}
 		}
-		silence.proven()
+		detector.recordProof()
 		c.tokens = append(c.tokens, frame.Token.ID)
-		if err := c.answer.token(frame.Token.Text, stream.More()); err != nil {
-			// The caller doesn't take its answer: gone, or too slow.
+		if err := c.response.writeToken(frame.Token.Text, stream.More()); err != nil {
+			// The caller is gone or reads too slowly.
 			return attemptResult{outcome: request.Interrupted, final: true}
 		}
-		delivered.Add(1)
+		counter.Add(1)
 		if dispatch.Attempt > 1 && len(c.tokens) == dispatch.FromToken+1 {
 			c.server.loop.Post(core.AttemptStreaming{Request: dispatch.Request, Attempt: dispatch.Attempt})
 		}
 	}
 }
 
-// finish ends the answer. It is whole even if the caller can't take its last bytes.
+// finish completes the response. The attempt counts as completed even if the
+// caller can't receive the last bytes.
 func (c *completion) finish(frame engine.Frame) attemptResult {
 	use := usage{PromptTokens: frame.PromptTokens, CompletionTokens: len(c.tokens)}
 	use.TotalTokens = use.PromptTokens + use.CompletionTokens
-	_ = c.answer.finish(frame.Finish, use)
+	_ = c.response.finish(frame.Finish, use)
 	return attemptResult{outcome: request.Completed}
 }
 
@@ -129,8 +131,8 @@
 	return request.Lost
 }
 
-// streamOutcome judges an attempt whose stream broke. The engine had accepted
-// it, so it counts as run.
+// streamOutcome classifies the error of a stream that broke. The engine had
+// accepted the attempt, so it counts as run.
 func streamOutcome(err error) request.Outcome {
 	if errors.Is(err, io.EOF) || errors.Is(err, engine.ErrBadFrame) {
 		return request.Interrupted
@@ -138,13 +140,14 @@
 	return request.Lost
 }
 
-// brokenAttempt places the fault of a broken attempt: at the silent stage, or
-// nowhere when the deadline or the caller ended it, or else at the first stage.
-func brokenAttempt(ctx context.Context, outcome request.Outcome, first string) attemptResult {
-	var silent *silentError
+// failedAttempt returns the result of a failed attempt. The stalled stage is
+// at fault; none if the deadline or the caller ended the attempt; otherwise
+// the first stage.
+func failedAttempt(ctx context.Context, outcome request.Outcome, first string) attemptResult {
+	var stall *stallError
 	switch cause := context.Cause(ctx); {
-	case errors.As(cause, &silent):
-		return attemptResult{outcome: outcome, server: silent.server, suspects: silent.suspects}
+	case errors.As(cause, &stall):
+		return attemptResult{outcome: outcome, server: stall.server, suspects: stall.suspects}
 	case errors.Is(cause, errMoved) && outcome != request.ProvenNotRun:
 		return attemptResult{outcome: request.Moved}
 	case cause != nil:
@@ -154,9 +157,10 @@
 	}
 }
 
-// onPath believes an engine's word about whose fault it was only if it names a
-// stage of the path: otherwise a confused engine could have any server avoided.
-func onPath(expect *engine.Expectation, named string) string {
+// faultyServer returns the server that an engine reports as faulty if it is on
+// the path, and the first stage otherwise: a faulty engine must not be able to
+// have any server avoided.
+func faultyServer(expect *engine.Expectation, named string) string {
 	for _, hop := range expect.Path {
 		if hop.Server == named {
 			return named
@@ -165,9 +169,10 @@
 	return expect.Path[0].Server
 }
 
-// cancelAttempt tells the first stage to stop. Closing the connection says the
-// same, but an engine notices that only at its next write, and not at all
-// behind a link that loses the close. At most cancelsAtOnce calls are open.
+// cancelAttempt asks the first stage to cancel an attempt. Closing the
+// connection isn't enough: an engine notices that only at its next write, and
+// not at all if the network loses the close. At most maxConcurrentCancels
+// calls are in flight; others are skipped.
 func (s *Server) cancelAttempt(dispatch core.Dispatch) {
 	select {
 	case s.cancels <- struct{}{}:
@@ -177,7 +182,7 @@
 	}
 	go func() {
 		defer func() { <-s.cancels }()
-		ctx, cancel := context.WithTimeout(context.Background(), cancelTime)
+		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
 		name := engine.Attempt{Request: string(dispatch.Request), Attempt: dispatch.Attempt}
 		if err := s.engines.Cancel(ctx, dispatch.Path[0].Address, name); err != nil {
--- a/internal/entry/completions.go
+++ b/internal/entry/completions.go
@@ -12,13 +12,13 @@
 	"oleandershunt.example/oleandershunt/internal/engine"
 )
 
-// Defaults of a pipeline record.
+// Defaults for fields that a pipeline record leaves out.
 const (
 	defaultDeadline  = 120 * time.Second
 	defaultMaxTokens = 1024
 )
 
-// bytesPerToken estimates a prompt's length in tokens.
+// bytesPerToken is used to estimate a prompt's length in tokens from its size.
 const bytesPerToken = 4
 
 func (s *Server) serveCompletions(w http.ResponseWriter, r *http.Request) {
@@ -29,45 +29,46 @@
 
 func (s *Server) serveCompletion(w http.ResponseWriter, r *http.Request, chat bool) {
 	set := s.set.Load()
-	call, problem := s.readCall(w, r, set)
+	parsed, problem := s.readRequest(w, r, set)
 	if problem != nil {
 		s.reject(w, problem)
 		return
 	}
-	body, err := parseCompletion(call.body, chat)
+	body, err := parseCompletion(parsed.body, chat)
 	if err != nil {
 		s.reject(w, problemBadRequest(err.Error()))
 		return
 	}
-	pipeline, problem := findPipeline(set, call.account, body.model)
+	pipeline, problem := findPipeline(set, parsed.account, body.model)
 	if problem != nil {
-		s.reject(w, problem.ofRepeat(r.Header))
+		s.reject(w, problem.forRepeat(r.Header))
 		return
 	}
 	id := request.ID(uuid.NewString())
 	arrived := core.RequestArrived{
 		Request:      id,
-		Account:      call.account,
+		Account:      parsed.account,
 		Pipeline:     body.model,
-		Idempotent:   pipeline.Idempotent && !call.marks.nonIdempotent,
-		Key:          call.marks.key,
-		KeyGiven:     call.marks.keyGiven,
-		BodyHash:     bodyHash(r, call.body),
-		Priority:     call.marks.priority,
+		Idempotent:   pipeline.Idempotent && !parsed.options.nonIdempotent,
+		Key:          parsed.options.key,
+		KeyGiven:     parsed.options.keyGiven,
+		BodyHash:     bodyHash(r, parsed.body),
+		Priority:     parsed.options.priority,
 		PromptTokens: len(body.prompt) / bytesPerToken,
 		PrefixHashes: engine.PrefixBlocks(body.prompt),
 		MaxTokens:    maxTokens(pipeline, body.maxTokens),
 	}
 	setIdentity(w, arrived)
-	s.serve(r, arrived, shorter(deadline(pipeline), call.marks.timeout, body.timeout), &completion{
-		server:  s,
-		arrived: arrived,
-		body:    body,
-		answer:  newAnswerWriter(w, id, body, s.limits.WriteTime),
+	s.serve(r, arrived, shorter(deadline(pipeline), parsed.options.timeout, body.timeout), &completion{
+		server:   s,
+		arrived:  arrived,
+		body:     body,
+		response: newResponseWriter(w, id, body, s.limits.WriteTime),
 	})
 }
 
-// setIdentity tells the caller by which names its request can be asked for and sent again.
+// setIdentity sends the caller the request ID, by which the request can be
+// looked up, and the idempotency key, by which it can be retried.
 func setIdentity(w http.ResponseWriter, arrived core.RequestArrived) {
 	w.Header().Set(headerRequestID, string(arrived.Request))
 	w.Header().Set(headerIdempotencyKey, arrived.Key)
@@ -80,13 +81,13 @@
 	return defaultDeadline
 }
 
-func maxTokens(spec api.PipelineSpec, asked int) int {
+func maxTokens(spec api.PipelineSpec, requested int) int {
 	limit := spec.MaxTokens
 	if limit == 0 {
 		limit = defaultMaxTokens
 	}
-	if asked == 0 {
+	if requested == 0 {
 		return limit
 	}
-	return min(asked, limit)
+	return min(requested, limit)
 }
--- a/internal/entry/execution_test.go
+++ b/internal/entry/execution_test.go
@@ -10,30 +10,30 @@
 	"oleandershunt.example/oleandershunt/internal/standin"
 )
 
-// Symptom: a sale is booked twice, or a caller is told "not run" of a request
-// that ran. Sequence: an engine fails at each point of a non-idempotent request.
-// Cause: a retry after the first byte left, or a guess about what ran.
-func TestNonIdempotentRequestRunsAtMostOnceAndIsToldTruthfully(t *testing.T) {
+// An engine fails at each point of a non-idempotent request. The request must
+// not be retried once a byte of it may have left, or it could run twice, and
+// the caller must be told correctly whether it ran.
+func TestNonIdempotentRequestRunsAtMostOnce(t *testing.T) {
 	cases := map[string]struct {
-		harm      func(*rig)
+		inject    func(*rig)
 		reason    string
 		execution string
 		started   int
 	}{
-		"all engines refuse":      {everywhere(standin.Faults{Refuse: true}), "attempts_exhausted", "not_run", 0},
+		"all engines refuse":      {onAllEngines(standin.Faults{Refuse: true}), "attempts_exhausted", "not_run", 0},
 		"all engines are gone":    {func(r *rig) { r.eachEngine((*standin.Engine).Kill) }, "attempts_exhausted", "not_run", 0},
-		"connection closed":       {everywhere(standin.Faults{CloseUnread: true}), "not_repeatable", "may_have_run", 0},
-		"crashed by the request":  {everywhere(standin.Faults{Poison: "sale"}), "not_repeatable", "may_have_run", 1},
-		"garbage in place of it":  {everywhere(standin.Faults{Damage: standin.DamageGarbage}), "not_repeatable", "ran", 1},
-		"cut before the first":    {everywhere(standin.Faults{Damage: standin.DamageCut}), "not_repeatable", "may_have_run", 1},
-		"lie about the layers":    {everywhere(standin.Faults{Lie: standin.LieLayers}), "not_repeatable", "ran", 1},
-		"stalled after its start": {everywhere(standin.Faults{StallSteps: true}), "not_repeatable", "may_have_run", 1},
+		"connection closed":       {onAllEngines(standin.Faults{CloseUnread: true}), "not_repeatable", "may_have_run", 0},
+		"crashed by the request":  {onAllEngines(standin.Faults{Poison: "sale"}), "not_repeatable", "may_have_run", 1},
+		"garbage in place of it":  {onAllEngines(standin.Faults{Damage: standin.DamageGarbage}), "not_repeatable", "ran", 1},
+		"cut before the first":    {onAllEngines(standin.Faults{Damage: standin.DamageCut}), "not_repeatable", "may_have_run", 1},
+		"lie about the layers":    {onAllEngines(standin.Faults{Lie: standin.LieLayers}), "not_repeatable", "ran", 1},
+		"stalled after its start": {onAllEngines(standin.Faults{StallSteps: true}), "not_repeatable", "may_have_run", 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := newRig(t, func(o *rigOptions) { o.limits.FirstToken = time.Second }).inForce(t)
-			c.harm(r)
+			c.inject(r)
 			problem := r.complete(t, "booking", "a sale", 20, "Idempotency-Key", "sale-1").problem(t)
 			g.Expect(string(problem.Execution)).To(Equal(c.execution), problem.Reason)
 			g.Expect(problem.Reason).To(BeElementOf(c.reason, "no_path"))
@@ -43,14 +43,15 @@
 	}
 }
 
-func everywhere(f standin.Faults) func(*rig) {
+func onAllEngines(f standin.Faults) func(*rig) {
 	return func(r *rig) { r.eachEngine(with(f)) }
 }
 
-// Symptom: a request of a pipeline that may be repeated is booked twice although
-// its caller marked it. Sequence: the mark, then an engine's crash. Cause: the
-// record's word taken before the caller's stricter one.
-func TestCallersMarkMakesARequestStricterOnly(t *testing.T) {
+// A caller's Idempotent header can only declare a request non-idempotent:
+// false overrides the record of an idempotent pipeline, true doesn't override
+// that of a non-idempotent one. Otherwise an engine crash would lead to a
+// second run.
+func TestIdempotentHeaderOnlyRestrictsRetries(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, nil).inForce(t)
 	r.eachEngine(with(standin.Faults{Poison: "sale"}))
@@ -63,10 +64,10 @@
 	g.Expect(r.started()).To(Equal(1))
 }
 
-// Symptom: a ledger entry is made twice. Sequence: the service runs the call and
-// closes the connection without an answer; the connection was a reused one.
-// Cause: net/http's silent retry, or a retry by the router.
-func TestPlainCallWhoseConnectionBreaksIsNotSentAgain(t *testing.T) {
+// The service runs the call and closes a reused connection without a response.
+// Neither net/http's own retry nor a retry by the router may send the call
+// again.
+func TestServiceRequestIsNotRetriedAfterConnectionLoss(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, nil).inForce(t)
 	g.Expect(r.send(t, http.MethodPost, "/ledger/entry", "first").status).To(Equal(http.StatusOK))
@@ -80,9 +81,9 @@
 	}
 }
 
-// Symptom: "not run" of a call that no service could get. Sequence: the service
-// is gone. Cause, if it fails: a doubt where there is a proof.
-func TestPlainCallToNobodyIsToldNotRun(t *testing.T) {
+// If the service is down, it is certain that the request didn't run, and the
+// caller must be told so.
+func TestServiceRequestToStoppedServiceIsNotRun(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, nil).inForce(t)
 	r.service.Kill()
@@ -91,9 +92,9 @@
 	g.Expect(r.service.Counts().Runs).To(BeZero())
 }
 
-// Symptom: a caller takes half a document for a whole one. Sequence: the service
-// dies in the midst of a large answer. Cause: the answer's end is not marked.
-func TestLargeAnswerIsPassedOnWholeOrCut(t *testing.T) {
+// A caller must not take a truncated response for a complete one when the
+// service fails in the middle of a large response.
+func TestLargeResponseIsForwardedCompleteOrAborted(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, nil).inForce(t)
 	r.service.SetFaults(standin.ServiceFaults{AnswerBytes: 3 << 20})
@@ -108,13 +109,13 @@
 	defer response.Body.Close()
 	_, err = readEvents(response.Body)
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(r.service.Counts().Runs).To(Equal(runs+1), "not sent again once a part has gone out")
+	g.Expect(r.service.Counts().Runs).To(Equal(runs+1), "not retried after a part of the response was sent")
 }
 
-// Symptom: a call hangs for a second, or runs at a service that has been told to
-// wait. Sequence: the caller's library sends Expect: 100-continue. Cause: the
-// header is passed on.
-func TestExpectIsNotPassedOn(t *testing.T) {
+// Expect: 100-continue from a client library must not be forwarded: the
+// service would wait for a body that it has to ask for, and the call would
+// take up to a second longer.
+func TestExpectHeaderIsNotForwarded(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, nil).inForce(t)
 	g.Expect(r.send(t, http.MethodPost, "/ledger/entry", "x", "Expect", "100-continue").status).To(Equal(http.StatusOK))
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -13,11 +13,12 @@
 	"oleandershunt.example/oleandershunt/internal/standin"
 )
 
-// harms are the ways to harm a stage in the midst of a stream. Those that only
-// a first stage can do, since it alone numbers tokens, say so.
-var harms = map[string]struct {
+// stageFaults are the faults to inject into a stage in the middle of a stream.
+// firstOnly marks those that only a first stage can have, since only it
+// numbers the tokens.
+var stageFaults = map[string]struct {
 	firstOnly bool
-	do        func(*standin.Engine)
+	inject    func(*standin.Engine)
 }{
 	"killed":            {false, (*standin.Engine).Kill},
 	"stalled":           {false, (*standin.Engine).Stall},
@@ -41,15 +42,15 @@
 	return func(e *standin.Engine) { e.SetFaults(f) }
 }
 
-// Symptom: an assessor's stream breaks, or goes on with tokens lost, repeated or
-// made of the wrong layers. Sequence: a stage fails or lies while tokens flow;
-// the router opens another attempt on another path. Cause: resuming at the wrong
-// token or on a wrong KV cache, blaming the wrong stage, or believing a receipt.
-func TestStageFaultMidStreamIsSurvivedExactly(t *testing.T) {
+// A stage fails or sends false receipts in the middle of a stream, and the
+// router starts another attempt on another path. No token may be lost,
+// repeated or computed by the wrong layers, as would happen by resuming at the
+// wrong token or on a wrong KV cache, or by avoiding the wrong stage.
+func TestStreamSurvivesStageFault(t *testing.T) {
 	const tokens = 300
 	for stage, place := range []string{"first", "middle", "last"} {
-		for name, harm := range harms {
-			if harm.firstOnly && stage > 0 {
+		for name, fault := range stageFaults {
+			if fault.firstOnly && stage > 0 {
 				continue
 			}
 			t.Run(place+" stage "+name, func(t *testing.T) {
@@ -60,7 +61,7 @@
 				response, err := r.openStream(t.Context(), "scoring", prompt, tokens)
 				g.Expect(err).NotTo(HaveOccurred())
 				defer response.Body.Close()
-				r.serving(t, stage, harm.do)
+				r.injectServing(t, stage, fault.inject)
 				got, err := readEvents(response.Body)
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(got.error).To(BeNil())
@@ -71,25 +72,25 @@
 	}
 }
 
-// serving harms the engine that runs the one stream's stage, once tokens flow.
-func (r *rig) serving(t testing.TB, stage int, harm func(*standin.Engine)) {
+// injectServing injects a fault into the engine that serves a stage of the
+// only stream, once tokens flow.
+func (r *rig) injectServing(t testing.TB, stage int, inject func(*standin.Engine)) {
 	g := NewWithT(t)
 	g.Eventually(func() int {
 		return r.sum(func(c standin.EngineCounts) int { return c.TokensMade })
 	}).Should(BeNumerically(">", 2))
 	for i, e := range r.engines {
 		if i*stages/len(r.engines) == stage && e.Counts().Running > 0 {
-			harm(e)
+			inject(e)
 			return
 		}
 	}
-	t.Fatal("no engine runs the stage")
+	t.Fatal("no engine serves the stage")
 }
 
-// Symptom: a batch's places are held by streams that nobody reads. Sequence: the
-// caller closes its connection in the midst of a stream. Cause: the engines are
-// not told.
-func TestCallerWhoLeavesIsCancelledAtTheEngines(t *testing.T) {
+// When the caller closes its connection in the middle of a stream, the engines
+// must be told, or the stream would keep its slot in their batches.
+func TestDisconnectedCallerIsCancelledAtEngines(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, nil).inForce(t)
 	ctx, leave := context.WithCancel(t.Context())
@@ -103,10 +104,10 @@
 	g.Expect(r.started()).To(Equal(1))
 }
 
-// Symptom: as above, with a caller whose connection stays open. Sequence: the
-// caller stops reading; the stream's bytes fill every buffer on the way. Cause:
-// a write without a deadline.
-func TestCallerWhoDoesNotReadLosesItsPlaceAtTheEngines(t *testing.T) {
+// The caller stops reading but keeps its connection open, until the buffers on
+// the way are full. The write deadline must end the stream, or it would keep
+// its slot in the engines' batches.
+func TestCallerThatStopsReadingIsCancelledAtEngines(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, func(o *rigOptions) {
 		o.limits.WriteTime = 200 * time.Millisecond
@@ -121,44 +122,43 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(func() int { return r.started() }).Should(Equal(1))
 	g.Eventually(func() int { return r.sum(running) }, "30s").Should(BeZero())
-	g.Expect(r.sum(func(c standin.EngineCounts) int { return c.Started })).To(Equal(1), "not tried again")
+	g.Expect(r.sum(func(c standin.EngineCounts) int { return c.Started })).To(Equal(1), "not retried")
 }
 
-// Symptom: an engine that is slow but sound is taken for a dead one, and its
-// streams are moved again and again. Sequence: a caller reads slowly, so the
-// router doesn't read from the engine for longer than the silence limit. Cause:
-// counting the caller's time as the engine's silence.
-func TestSlowCallerIsNotTakenForASilentEngine(t *testing.T) {
+// A caller reads slowly, so the router doesn't read from the engine for longer
+// than the stall timeout. The caller's time must not count as the engine's
+// stall, or its streams would be moved again and again.
+func TestSlowCallerIsNotTakenForStalledEngine(t *testing.T) {
 	g := NewWithT(t)
-	// A busy machine pauses a sound engine for tens of milliseconds. The caller
-	// reads nothing for several times the limit.
-	const limit = 500 * time.Millisecond
+	// A busy machine pauses a healthy engine for tens of milliseconds. The
+	// caller reads nothing for several times the timeout.
+	const timeout = 500 * time.Millisecond
 	r := newRig(t, func(o *rigOptions) {
 		o.step = 0
-		o.limits.TokenSilence = limit
-		o.limits.SilenceFloor = limit
+		o.limits.TokenSilence = timeout
+		o.limits.SilenceFloor = timeout
 	}).inForce(t)
 	const tokens = 40000
 	response, err := r.openStream(t.Context(), "scoring", "read late", tokens)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer response.Body.Close()
-	// Unread, the stream comes to a stop when the buffers are full.
+	// An unread stream stops when the buffers are full.
 	made := 0
 	g.Eventually(func() bool {
 		before := made
 		made = r.sum(func(c standin.EngineCounts) int { return c.TokensMade })
 		return made > 0 && made == before
-	}, "60s", (8 * limit).String()).Should(BeTrue())
+	}, "60s", (8 * timeout).String()).Should(BeTrue())
 	got, err := readEvents(response.Body)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got.text).To(Equal(r.model.Text("read late", tokens)))
 	g.Expect(r.started()).To(Equal(1))
 }
 
-// Symptom: a caller gets another caller's tokens. Sequence: engines send, late
-// and crossed, frames of other streams and of attempts given up. Cause: frames
-// delivered by connection rather than by name.
-func TestCrossedFramesOfTwoCallersAreNotDelivered(t *testing.T) {
+// Engines send late frames of cancelled attempts and frames of other streams.
+// Frames must be matched by request and attempt, not only by connection, or a
+// caller would get another caller's tokens.
+func TestForeignFramesAreNotDelivered(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, nil).inForce(t)
 	for i, e := range r.engines {
@@ -175,10 +175,9 @@
 	g.Expect([]string{<-texts, <-texts}).To(ConsistOf(r.model.Text("one", 100), r.model.Text("two", 100)))
 }
 
-// Symptom: a caller waits for an answer that it has no more use for, and its
-// work holds a place. Sequence: the caller sets a time limit below the time of
-// the answer. Cause: the limit isn't enforced.
-func TestDeadlineEndsARequestTruthfully(t *testing.T) {
+// A caller's timeout that is shorter than the response takes must end the
+// request and free its slot at the engines.
+func TestDeadlineEndsRequest(t *testing.T) {
 	r := newRig(t, func(o *rigOptions) { o.step = 20 * time.Millisecond }).inForce(t)
 	for _, header := range []string{"Request-Timeout", "body"} {
 		t.Run(header, func(t *testing.T) {
@@ -199,9 +198,9 @@
 	}
 }
 
-// Symptom: a stream that was cut off looks like a whole answer. Sequence: the
-// deadline passes after bytes have gone out. Cause: a stream that just ends.
-func TestErrorAfterTheFirstByteIsTheLastEvent(t *testing.T) {
+// The deadline passes after bytes have been sent. The stream must end with an
+// error event, so that a truncated stream doesn't look complete.
+func TestErrorAfterFirstByteIsLastEvent(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, func(o *rigOptions) { o.step = 5 * time.Millisecond }).inForce(t)
 	body := `{"model":"scoring","prompt":"late","max_tokens":100000,"stream":true,"timeout":0.3}`
@@ -215,9 +214,10 @@
 	g.Expect(string(read.error.Execution)).To(Equal("ran"))
 }
 
-// Symptom: the balancer sends callers to a VM that is going. Sequence: a planned
-// stop begins. Cause: the check fails only when the sockets are closed.
-func TestHealthFailsFirstAndRequestsAreStillServed(t *testing.T) {
+// When a planned stop begins, the health check must fail while requests are
+// still served: if it failed only when the sockets are closed, the load
+// balancer would send callers to a stopping VM.
+func TestHealthCheckFailsBeforeRequestsAreRefused(t *testing.T) {
 	g := NewWithT(t)
 	r := newRig(t, nil)
 	g.Expect(r.send(t, http.MethodGet, "/healthz", "").status).To(Equal(http.StatusServiceUnavailable))
--- a/internal/entry/guard.go
+++ b/internal/entry/guard.go
@@ -15,12 +15,13 @@
 	"oleandershunt.example/oleandershunt/internal/core/config"
 )
 
-// guard refuses what no handler should see.
-func (s *Server) guard(next http.Handler) http.Handler {
+// checkRequests is middleware that rejects HTTP/1.0 and oversized headers
+// before any handler runs.
+func (s *Server) checkRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/healthz" && !r.ProtoAtLeast(1, 1) {
 			// HTTP/1.0 marks the end of a stream by closing the connection, so a
-			// caller couldn't tell a whole answer from one that was cut off.
+			// caller couldn't tell a complete response from a truncated one.
 			s.reject(w, newProblem(http.StatusHTTPVersionNotSupported, "http_version", "HTTP/1.0 is not served: use HTTP/1.1 or later"))
 			return
 		}
@@ -41,14 +42,14 @@
 			size += len(name) + len(value)
 		}
 	}
-	if count <= headerCount && size <= s.limits.HeaderBytes {
+	if count <= maxHeaders && size <= s.limits.HeaderBytes {
 		return nil
 	}
-	detail := fmt.Sprintf("%d headers of %d bytes: send at most %d of %d bytes", count, size, headerCount, s.limits.HeaderBytes)
+	detail := fmt.Sprintf("%d headers of %d bytes: send at most %d of %d bytes", count, size, maxHeaders, s.limits.HeaderBytes)
 	return newProblem(http.StatusRequestHeaderFieldsTooLarge, "headers_too_large", detail)
 }
 
-// reject refuses a request before the core has seen it.
+// reject refuses a request that hasn't been passed to the core.
 func (s *Server) reject(w http.ResponseWriter, problem *Problem) {
 	countRefusal(problem)
 	problem.write(w)
@@ -63,29 +64,30 @@
 	}
 }
 
-// callerCall is what every request of a caller has, whatever it calls.
-type callerCall struct {
+// callerRequest is what all requests of callers have in common.
+type callerRequest struct {
 	account string
-	marks   marks
+	options headerOptions
 	body    []byte
 }
 
-// readCall finds the client account, and reads the marks in the header and then
-// the body: a body is read only for a caller who is known.
-func (s *Server) readCall(w http.ResponseWriter, r *http.Request, set *config.Set) (callerCall, *Problem) {
+// readRequest authenticates the request, and then reads its header options and
+// its body: the body of an unauthenticated request is never read.
+func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, set *config.Set) (callerRequest, *Problem) {
 	account, problem := authenticate(set, r)
 	if problem != nil {
-		return callerCall{}, problem
+		return callerRequest{}, problem
 	}
-	said, problem := readMarks(r.Header)
+	options, problem := readHeaderOptions(r.Header)
 	if problem != nil {
-		return callerCall{}, problem
+		return callerRequest{}, problem
 	}
 	body, problem := s.readBody(w, r)
-	return callerCall{account: account, marks: said, body: body}, problem
+	return callerRequest{account: account, options: options, body: body}, problem
 }
 
-// authenticate finds the client account of a request by its API key.
+// authenticate returns the client account that the request's API key belongs
+// to.
 func authenticate(set *config.Set, r *http.Request) (string, *Problem) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
@@ -99,12 +101,12 @@
 	return account, nil
 }
 
-// mayCall tells whether an account may call a pipeline.
+// mayCall reports whether an account may call a pipeline.
 func mayCall(account api.ClientAccountSpec, pipeline string) bool {
 	return len(account.Pipelines) == 0 || slices.Contains(account.Pipelines, pipeline)
 }
 
-// findPipeline finds a pipeline that an account may call.
+// findPipeline returns a pipeline that the account may call.
 func findPipeline(set *config.Set, account, name string) (api.PipelineSpec, *Problem) {
 	pipeline, ok := set.Pipelines[name]
 	if !ok {
@@ -116,7 +118,7 @@
 	return pipeline, nil
 }
 
-// readBody reads a body that is bounded in size and time.
+// readBody reads the request's body, limited by BodyBytes and BodyTime.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *Problem) {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(s.limits.BodyTime))
@@ -128,7 +130,7 @@
 	}
 	if err != nil {
 		problem := newProblem(http.StatusRequestTimeout, "body_incomplete", "body did not arrive whole: send it again")
-		return nil, problem.ofRepeat(r.Header)
+		return nil, problem.forRepeat(r.Header)
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	return data, nil
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// Limits bound what one caller can make the VM hold, and how long a fault may
-// stay unnoticed.
+// Limits bound the resources that one caller can use on a VM, and the time to
+// detect a fault.
 type Limits struct {
 	// BodyBytes bounds a request's body.
 	BodyBytes int64
-	// BodyTime bounds the reading of the body.
+	// BodyTime is the timeout for reading the body.
 	BodyTime time.Duration
-	// HeaderBytes bounds a request's headers.
+	// HeaderBytes bounds the total size of a request's headers.
 	HeaderBytes int
-	// HeaderTime bounds the reading of the headers.
+	// HeaderTime is the timeout for reading the headers.
 	HeaderTime time.Duration
-	// IdleTime is how long a connection without a request is kept.
-	IdleTime time.Duration
-	// StreamsPerConnection bounds the requests at once on one HTTP/2 connection.
+	// IdleTimeout is how long an idle connection is kept open.
+	IdleTimeout time.Duration
+	// StreamsPerConnection bounds the concurrent requests on one HTTP/2
+	// connection.
 	StreamsPerConnection int
-	// WriteTime is how long a caller may take none of its answer's bytes.
+	// WriteTime is how long a write to the caller may block.
 	WriteTime time.Duration
-	// TokenSilence is how long a stream may be silent at most before the stages
-	// of its path are asked whether they are at work, and SilenceFloor how long
-	// at least. In between, the limit is learned from the servers' own gaps
-	// between tokens.
+	// TokenSilence and SilenceFloor are the upper and lower bound of the stall
+	// timeout: the time without a token after which the stages of a stream's
+	// path are probed. Between them, the timeout is learned from the servers'
+	// gaps between tokens.
 	TokenSilence time.Duration
 	SilenceFloor time.Duration
-	// FirstToken is how long an attempt's first token may take at most while
-	// every stage of its path answers. A prefill is long; how long, is learned.
+	// FirstToken is the maximum time to an attempt's first token while every
+	// stage of its path answers probes. Prefill takes long; how long is learned.
 	FirstToken time.Duration
-	// ProbeTime is how long a stage of a silent path has to say that it lives.
+	// ProbeTime is the timeout of a probe to a stage of a stalled path.
 	ProbeTime time.Duration
 }
 
-// Bounds that are not settings.
+// Limits that can't be configured.
 const (
-	headerCount   = 100
-	headerSlack   = 2
-	maxKeyBytes   = 255
-	cancelsAtOnce = 64
-	cancelTime    = 2 * time.Second
-	// overdueGrace is how long after the deadline the core's word is waited for.
-	overdueGrace = time.Second
+	maxHeaders           = 100
+	netHTTPHeaderFactor  = 2
+	maxKeyBytes          = 255
+	maxConcurrentCancels = 64
+	cancelTimeout        = 2 * time.Second
+	// deadlineGrace is how long after a request's deadline the core may take to
+	// end the request.
+	deadlineGrace = time.Second
 )
 
-// DefaultLimits are the limits without settings.
+// DefaultLimits returns the limits that apply without settings.
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes:            1 << 20,
 		BodyTime:             15 * time.Second,
 		HeaderBytes:          32 << 10,
 		HeaderTime:           5 * time.Second,
-		IdleTime:             2 * time.Minute,
+		IdleTimeout:          2 * time.Minute,
 		StreamsPerConnection: 250,
 		WriteTime:            10 * time.Second,
 		TokenSilence:         700 * time.Millisecond,
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -1,5 +1,6 @@
-// Package entry serves callers: it reads and authenticates their requests, asks
-// the core what to do, carries the core's decisions out and streams answers back.
+// Package entry serves callers over HTTP: it reads and authenticates their
+// requests, passes them to the core, carries out the core's decisions and
+// streams the responses.
 package entry
 
 import (
@@ -13,54 +14,57 @@
 	"oleandershunt.example/oleandershunt/internal/service"
 )
 
-// Server answers callers on one VM.
+// Server serves callers on one VM.
 type Server struct {
-	limits    Limits
-	loop      *loop.Loop
-	clock     *schedclock.Clock
-	engines   engine.Client
-	plain     *service.Client
-	set       atomic.Pointer[config.Set]
-	silences  *silences
-	delivered *delivered
-	prober    *prober
-	cancels   chan struct{}
-	stopping  atomic.Bool
+	limits        Limits
+	loop          *loop.Loop
+	clock         *schedclock.Clock
+	engines       engine.Client
+	services      *service.Client
+	set           atomic.Pointer[config.Set]
+	stallTimeouts *stallTimeouts
+	tokenCounters *tokenCounters
+	prober        *prober
+	cancels       chan struct{}
+	stopping      atomic.Bool
 }
 
-// New makes a server which serves nothing until a configuration is applied. The
-// clock, by which silences are measured, may be nil.
-func New(limits Limits, decisions *loop.Loop, clock *schedclock.Clock, engines engine.Client, plain *service.Client) *Server {
+// New returns a server that serves no requests until a configuration is
+// applied. The clock, which measures stalls, may be nil.
+func New(limits Limits, eventLoop *loop.Loop, clock *schedclock.Clock, engines engine.Client, services *service.Client) *Server {
 	s := &Server{
-		limits:    limits,
-		loop:      decisions,
-		clock:     clock,
-		engines:   engines,
-		plain:     plain,
-		silences:  newSilences(limits.SilenceFloor, limits.TokenSilence),
-		delivered: newDelivered(),
-		prober:    newProber(engines, clock, limits.ProbeTime),
-		cancels:   make(chan struct{}, cancelsAtOnce),
+		limits:        limits,
+		loop:          eventLoop,
+		clock:         clock,
+		engines:       engines,
+		services:      services,
+		stallTimeouts: newStallTimeouts(limits.SilenceFloor, limits.TokenSilence),
+		tokenCounters: newTokenCounters(),
+		prober:        newProber(engines, clock, limits.ProbeTime),
+		cancels:       make(chan struct{}, maxConcurrentCancels),
 	}
 	s.set.Store(config.Empty())
 	return s
 }
 
-// ApplyConfig puts a configuration in force for authentication and route matching.
+// ApplyConfig sets the configuration used for authentication and route
+// matching.
 func (s *Server) ApplyConfig(set *config.Set) {
 	s.set.Store(set)
-	s.delivered.keep(set)
-	s.silences.keep(func(server string) bool {
+	s.tokenCounters.prune(set)
+	s.stallTimeouts.prune(func(server string) bool {
 		_, ok := set.Backend(server)
 		return ok
 	})
 }
 
-// BeginStop makes the balancer's check fail from now on. Requests are still
-// served, until the balancer has noticed and those in flight are answered.
+// BeginStop makes the load balancer's health check fail from now on. Requests
+// are still served, until the load balancer has noticed and those in flight
+// are complete.
 func (s *Server) BeginStop() { s.stopping.Store(true) }
 
-// HTTPServer wraps the handler with the limits on connections.
+// HTTPServer returns an http.Server with the handler and the limits on
+// connections.
 func (s *Server) HTTPServer() *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -68,16 +72,16 @@
 	return &http.Server{
 		Handler:           s.Handler(),
 		ReadHeaderTimeout: s.limits.HeaderTime,
-		IdleTimeout:       s.limits.IdleTime,
+		IdleTimeout:       s.limits.IdleTimeout,
 		// The handler refuses headers above HeaderBytes with a problem; net/http
-		// cuts those off that are larger still, before they take memory.
-		MaxHeaderBytes: headerSlack * s.limits.HeaderBytes,
+		// rejects those that are larger still before they take memory.
+		MaxHeaderBytes: netHTTPHeaderFactor * s.limits.HeaderBytes,
 		Protocols:      protocols,
 		HTTP2:          &http.HTTP2Config{MaxConcurrentStreams: s.limits.StreamsPerConnection},
 	}
 }
 
-// Handler routes callers' requests.
+// Handler returns the handler for all requests of callers.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/completions", s.serveCompletions)
@@ -87,12 +91,12 @@
 	mux.HandleFunc("/v1/chat/completions", wrongMethod(http.MethodPost))
 	mux.HandleFunc("/v1/models", wrongMethod(http.MethodGet))
 	mux.HandleFunc("GET /healthz", s.serveHealth)
-	mux.HandleFunc("/", s.servePlain)
-	return s.guard(mux)
+	mux.HandleFunc("/", s.serveService)
+	return s.checkRequests(mux)
 }
 
-// serveHealth answers the balancer: a VM that is stopping or has no
-// configuration gets no new callers.
+// serveHealth answers the load balancer's health check. It fails while the VM
+// is stopping or has no configuration, so that the VM gets no new callers.
 func (s *Server) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case s.stopping.Load():
--- a/internal/entry/starved_test.go
+++ b/internal/entry/starvation_test.go
@@ -18,23 +18,22 @@
 	"oleandershunt.example/oleandershunt/internal/standin"
 )
 
-// Symptom: with more tokens offered than the VM's processors can carry, a part
-// of the streams ended with no_path, and healthy servers were avoided. Sequence:
-// the VM gets to its sockets late, so that frames and the answers to probes lie
-// there unread for longer than the limits. Cause: silence by the wall clock. Here
-// the engine is late, which looks the same, while the VM's clock gets no pulse.
-func TestStarvedVMNeitherCutsAStreamNorBlamesAServer(t *testing.T) {
+// When the VM is short of processor time, it reads its sockets late, and
+// frames and probe responses stay unread for longer than the timeouts. That
+// must neither end streams nor have healthy servers avoided. The test delays
+// the engine, which looks the same, while the VM's clock gets no heartbeat.
+func TestStarvedVMNeitherEndsStreamNorAvoidsServer(t *testing.T) {
 	const (
-		limit  = 50 * time.Millisecond
-		tokens = 200
+		timeout = 50 * time.Millisecond
+		tokens  = 200
 	)
 	for stage, place := range []string{"first", "middle", "last"} {
-		for name, end := range map[string]struct {
+		for name, ending := range map[string]struct {
 			do       func(*schedclock.Clock, *standin.Engine)
 			attempts gomegatypes.GomegaMatcher
 		}{
-			"late answers are whole": {func(_ *schedclock.Clock, e *standin.Engine) { e.Recover() }, Equal(1)},
-			"a truly silent engine is found when the VM keeps up": {func(c *schedclock.Clock, _ *standin.Engine) {
+			"a late response is complete": {func(_ *schedclock.Clock, e *standin.Engine) { e.Recover() }, Equal(1)},
+			"a stalled engine is detected when the VM keeps up": {func(c *schedclock.Clock, _ *standin.Engine) {
 				go func() { _ = c.Run(t.Context()) }()
 			}, BeNumerically(">=", 2)},
 		} {
@@ -45,30 +44,29 @@
 				clock.Heartbeat()
 				r := newRig(t, func(o *rigOptions) {
 					o.clock = clock
-					o.limits.TokenSilence, o.limits.SilenceFloor, o.limits.ProbeTime = limit, limit, limit
+					o.limits.TokenSilence, o.limits.SilenceFloor, o.limits.ProbeTime = timeout, timeout, timeout
 				}).inForce(t)
 				response, err := r.openStream(t.Context(), "scoring", "starved", tokens)
 				g.Expect(err).NotTo(HaveOccurred())
 				defer response.Body.Close()
 				var late *standin.Engine
-				r.serving(t, stage, func(e *standin.Engine) { late = e; e.Stall() })
-				g.Consistently(r.started, 10*limit).Should(Equal(1))
-				end.do(clock, late)
+				r.injectServing(t, stage, func(e *standin.Engine) { late = e; e.Stall() })
+				g.Consistently(r.started, 10*timeout).Should(Equal(1))
+				ending.do(clock, late)
 				got, err := readEvents(response.Body)
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(got.error).To(BeNil())
 				g.Expect(got.text).To(Equal(r.model.Text("starved", tokens)))
-				g.Expect(r.started()).To(end.attempts)
+				g.Expect(r.started()).To(ending.attempts)
 			})
 		}
 	}
 }
 
-// Symptom: servers short of processor time are avoided one after the other, until
-// streams end with no_path. Sequence: an engine serves its streams, some late, and
-// doesn't come to answering probes. Cause: an unanswered probe counts as proof of
-// death, though the server's tokens come in on other streams.
-func TestServerHeardOnOtherStreamsIsNotDead(t *testing.T) {
+// A server short of processor time serves its streams but doesn't answer
+// probes. It must not be avoided while its tokens arrive on other streams, or
+// servers would be avoided one after the other until streams end with no_path.
+func TestServerActiveOnOtherStreamsIsNotAvoided(t *testing.T) {
 	g := NewWithT(t)
 	late := make(chan struct{})
 	var attempts atomic.Int64
@@ -100,15 +98,15 @@
 		o.copies = 1
 		o.limits.TokenSilence, o.limits.SilenceFloor, o.limits.ProbeTime = time.Minute, 50*time.Millisecond, 500*time.Millisecond
 	}).inForce(t)
-	// The silence limit is learned from whole answers.
+	// The stall timeout is learned from complete responses.
 	for range 4 {
 		g.Expect(r.stream(t, "scoring", "in time", 100).last).To(Equal("[DONE]"))
 	}
 	ctx, leave := context.WithCancel(t.Context())
-	lively, err := r.openStream(ctx, "scoring", "in time", 1<<20)
+	activeStream, err := r.openStream(ctx, "scoring", "in time", 1<<20)
 	g.Expect(err).NotTo(HaveOccurred())
-	defer lively.Body.Close()
-	go func() { _, _ = io.Copy(io.Discard, lively.Body) }()
+	defer activeStream.Body.Close()
+	go func() { _, _ = io.Copy(io.Discard, activeStream.Body) }()
 	ended := make(chan events, 1)
 	go func() { ended <- r.stream(t, "scoring", "late", 10) }()
 	g.Consistently(ended, "2s").ShouldNot(Receive())
