--- a/internal/claims/journal.go
+++ b/internal/claims/journal.go
@@ -11,19 +11,20 @@
 	"oleandershunt.example/oleandershunt/internal/platform"
 )
 
-// The platform's kinds of object.
+// Kinds of platform objects.
 const (
-	// KindShard holds the head of each shard.
+	// KindShard is the kind of the objects that store the shards' heads.
 	KindShard = "ClaimShard"
-	// KindPage holds sealed parts of the shards' journals.
+	// KindPage is the kind of the objects that store sealed parts of the shards' journals.
 	KindPage = "ClaimPage"
-	// KindLayout holds the number of shards, which never changes.
+	// KindLayout is the kind of the object that stores the number of shards, which
+	// never changes.
 	KindLayout = "ClaimLayout"
 
 	layoutName = "layout"
 )
 
-// Store is what the claims need of the platform.
+// Store is the part of the platform's API that claims use.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (platform.Object, error)
 	Create(ctx context.Context, kind, name string, value any) (platform.Object, error)
@@ -31,10 +32,10 @@
 	Delete(ctx context.Context, kind, name string, version history.Version) error
 }
 
-// Time limits of calls.
+// Timeouts of calls.
 const (
-	// storeTimeout bounds one call of the platform. A write that takes longer
-	// counts as one without an answer, and the standbys are asked.
+	// storeTimeout bounds one call to the platform. A write that takes longer has
+	// an unknown outcome, and its ops go to the standbys.
 	storeTimeout = 600 * time.Millisecond
 	// pageTimeout bounds a call that reads or writes a page.
 	pageTimeout = 2 * time.Second
@@ -42,14 +43,14 @@
 	appendTimeout = 400 * time.Millisecond
 )
 
-// Layout is how keys are spread. Were it to change, a key would move to a
-// shard that does not know it, and could be granted again there.
+// Layout defines how keys are distributed over shards. It must not change: a key
+// would move to a shard that does not know it and could grant it again.
 type Layout struct {
 	// ShardsPerDataCentre is the number of shards of each home data centre.
 	ShardsPerDataCentre int `json:"shardsPerDataCentre"`
 }
 
-// readLayout reads the layout; the first VM of a deployment writes it.
+// readLayout reads the layout. The first VM of a deployment creates it.
 func (s *Service) readLayout(ctx context.Context) (Layout, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
@@ -58,7 +59,7 @@
 		object, err = s.store.Create(ctx, KindLayout, layoutName, Layout{s.settings.ShardsPerDataCentre})
 	}
 	if errors.Is(err, platform.ErrConflict) {
-		// Another VM has just written it.
+		// Another VM has just created it.
 		object, err = s.store.Get(ctx, KindLayout, layoutName)
 	}
 	if err != nil {
@@ -69,7 +70,7 @@
 		return Layout{}, err
 	}
 	if layout.ShardsPerDataCentre < 1 {
-		return Layout{}, ErrLayout
+		return Layout{}, ErrInvalidLayout
 	}
 	return layout, nil
 }
@@ -100,12 +101,13 @@
 	} else {
 		object, err = s.store.Update(ctx, KindShard, shard, history.Version(write.IfVersion), write.Head)
 	}
-	s.metrics.commit.UpdateDuration(started)
-	return claim.HeadWritten{Number: write.Number, Result: resultOf(err), Version: uint64(object.Version)}
+	s.metrics.headWrite.UpdateDuration(started)
+	return claim.HeadWritten{Number: write.Number, Result: writeResult(err), Version: uint64(object.Version)}
 }
 
-// resultOf judges a write. What isn't known to have failed may have taken effect.
-func resultOf(err error) claim.Result {
+// writeResult classifies the outcome of a write. Unless an error proves that the
+// write failed, it may have taken effect.
+func writeResult(err error) claim.Result {
 	switch {
 	case err == nil:
 		return claim.ResultDone
@@ -151,11 +153,11 @@
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	_, err := s.store.Create(ctx, KindPage, write.Ref.Name, write.Page)
-	return claim.PageWritten{Ref: write.Ref, Result: resultOf(err)}
+	return claim.PageWritten{Ref: write.Ref, Result: writeResult(err)}
 }
 
-// deletePage deletes a page that no head refers to. One that is left over when
-// this fails takes room in the platform and does no other harm.
+// deletePage deletes a page that no head refers to. Errors are ignored: a page that
+// remains only takes up storage in the platform.
 func (s *Service) deletePage(ctx context.Context, name string) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
