--- a/internal/peer/gossip/bench_test.go
+++ b/internal/peer/gossip/bench_test.go
@@ -14,18 +14,18 @@
 	"oleandershunt.example/oleandershunt/internal/testutil"
 )
 
-// probesPerSecond and observers are the defaults of the probe settings, from
-// which it follows how often a server's load is read.
+// probesPerSecond and observers are the defaults of the probe settings, which
+// determine how often a server's load is read.
 const (
 	probesPerSecond = 8
 	observers       = 3
 )
 
 // BenchmarkRound runs rounds of gossip in one data centre, each VM behind a real
-// HTTP/2 server on loopback, while loads change at the pace at which probes read
-// them. A round is an interval of a second. Reported for each VM and round: the
-// bytes on its connections in both directions, the processor time of the whole
-// process over the VMs, and what a VM holds in memory.
+// HTTP/2 server on loopback, while loads change at the rate at which probes read
+// them. The interval is one second. It reports per VM and round the bytes on the
+// VM's connections in both directions and the CPU time of the whole process
+// divided by the VMs, and per VM the memory in use.
 func BenchmarkRound(b *testing.B) {
 	for _, size := range []struct{ vms, servers int }{{16, 770}, {32, 770}, {63, 770}, {63, 385}, {63, 190}} {
 		b.Run(fmt.Sprintf("vms=%d/servers=%d", size.vms, size.servers), func(b *testing.B) {
@@ -67,10 +67,10 @@
 	b.ReportMetric(float64(heap()-before)/float64(vms)/(1<<20), "heap-MB/VM")
 }
 
-// BenchmarkStateChange shows what entries of State cost each VM of a data centre
-// in which they spread: the difference between its cases, over the changes. It
-// does not matter whether they were written here or came from another data
-// centre, whose VMs write a release each at a bounded rate, for example.
+// BenchmarkStateChange measures the cost of replicating State entries to each VM
+// of a data centre: the difference between its cases divided by the number of
+// changes. The cost is the same for entries that come from another data centre,
+// whose VMs write a release each at a bounded rate, for example.
 func BenchmarkStateChange(b *testing.B) {
 	for _, changes := range []int{0, 25, 50} {
 		b.Run(fmt.Sprintf("vms=63/changes=%d", changes), func(b *testing.B) {
@@ -92,7 +92,8 @@
 }
 
 // BenchmarkOrigin measures the memory that a VM of another data centre takes in
-// the store: its entry and those of twelve backend servers that it leads.
+// the store: its own entry and those of the twelve backend servers that it
+// reports on.
 func BenchmarkOrigin(b *testing.B) {
 	const origins = 757
 	for b.Loop() {
@@ -111,8 +112,8 @@
 	}
 }
 
-// holdersOf lets the first observer of each server say what it holds, and
-// returns the VM that does.
+// holdersOf makes the first observer of each server publish what the server
+// holds, and returns that VM for each server.
 func holdersOf(c *cluster, servers int) []*vm {
 	names := make([]string, len(c.vms))
 	byName := make(map[string]*vm)
@@ -130,7 +131,7 @@
 
 func serverName(i int) string { return fmt.Sprintf("bornova-runner-%03d", i) }
 
-// loads changes the loads of the servers that were probed since the last round.
+// loads changes the loads of a random set of servers, as probes do in one round.
 type loads struct {
 	random  *rand.Rand
 	holders []*vm
@@ -157,8 +158,7 @@
 	return stats.HeapAlloc + stats.StackInuse
 }
 
-// BenchmarkUrgentNews measures how long an entry that is pushed takes to reach
-// the last of the VMs.
+// BenchmarkUrgentNews measures how long a pushed entry takes to reach the last VM.
 func BenchmarkUrgentNews(b *testing.B) {
 	for _, vms := range []int{9, 63} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
@@ -169,27 +169,28 @@
 			c.rounds(30, c.vms...)
 			stop := make(chan struct{})
 			defer close(stop)
-			go keepTalking(c, stop)
+			go runRounds(c, stop)
 			worst := time.Duration(0)
 			for n := range b.N {
-				began := time.Now()
+				start := time.Now()
 				value := fmt.Sprint(n)
 				c.vms[n%vms].Put("s/runner", []byte(value), true)
 				key := c.vms[n%vms].name + " on runner"
 				for i, v := range c.vms {
-					for i != n%vms && v.opinion(key) != value {
+					for i != n%vms && v.entry(key) != value {
 						time.Sleep(200 * time.Microsecond)
 					}
 				}
-				worst = max(worst, time.Since(began))
+				worst = max(worst, time.Since(start))
 			}
 			b.ReportMetric(float64(worst)/float64(time.Millisecond), "worst-ms")
 		})
 	}
 }
 
-// keepTalking runs the usual rounds meanwhile, which reach the VMs that no push did.
-func keepTalking(c *cluster, stop <-chan struct{}) {
+// runRounds runs rounds in the background, which reach the VMs that no push
+// reached.
+func runRounds(c *cluster, stop <-chan struct{}) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -205,8 +206,8 @@
 	}
 }
 
-// BenchmarkConfirm is one exchange with all of nine VMs in three data centres,
-// over loopback, with a new finding each time.
+// BenchmarkConfirm measures Confirm among nine VMs in three data centres over
+// loopback, with a new entry each time.
 func BenchmarkConfirm(b *testing.B) {
 	c := newCluster(b)
 	for i := range 9 {
--- a/internal/peer/gossip/cluster_test.go
+++ b/internal/peer/gossip/cluster_test.go
@@ -20,21 +20,21 @@
 
 const interval = time.Second
 
-// vm is one VM's gossip behind a real server on loopback.
+// vm is the gossip of one VM behind a real server on loopback.
 type vm struct {
 	*gossip.Gossip
 	name      string
 	directory *peer.Directory
 	dialer    *peer.Dialer
 	server    *http.Server
-	listener  *cutListener
+	listener  *testListener
 
-	mu       sync.Mutex
-	opinions map[string]string
-	vms      map[string]fleet.State
+	mu      sync.Mutex
+	entries map[string]string
+	vms     map[string]fleet.State
 }
 
-// cluster is VMs that share a clock which the test moves.
+// cluster is a set of VMs that share a clock controlled by the test.
 type cluster struct {
 	*WithT
 	tb    testing.TB
@@ -47,15 +47,15 @@
 	return &cluster{WithT: NewWithT(tb), tb: tb}
 }
 
-// start adds a VM that knows the given VMs' addresses.
+// start adds a VM that has the given VMs' addresses as contacts.
 func (c *cluster) start(name, dataCentre string, incarnation uint64, contacts ...*vm) *vm {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Expect(err).NotTo(HaveOccurred())
 	v := &vm{
 		name:      name,
 		directory: peer.NewDirectory(),
-		listener:  &cutListener{Listener: listener, bytes: &c.bytes},
-		opinions:  make(map[string]string),
+		listener:  &testListener{Listener: listener, bytes: &c.bytes},
+		entries:   make(map[string]string),
 		vms:       make(map[string]fleet.State),
 	}
 	identity := peer.Identity{Name: name, Deployment: "test"}
@@ -81,7 +81,7 @@
 	v.OnEntry("s/", func(e gossip.Entry) {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		v.opinions[e.VM+" on "+e.Key] = string(e.Value)
+		v.entries[e.VM+" on "+e.Key] = string(e.Value)
 	})
 	v.OnVM(func(changed fleet.VMStatus) {
 		v.mu.Lock()
@@ -97,16 +97,16 @@
 	return v
 }
 
-// kill ends a VM as a crash does.
+// kill stops a VM abruptly, as a crash does.
 func (v *vm) kill() {
 	_ = v.server.Close()
 	v.dialer.Close()
 }
 
-func (v *vm) opinion(key string) string {
+func (v *vm) entry(key string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.opinions[key]
+	return v.entries[key]
 }
 
 func (v *vm) state(name string) fleet.State {
@@ -115,7 +115,7 @@
 	return v.vms[name]
 }
 
-// rounds lets time pass for the VMs, a round at a time.
+// rounds advances the clock by count intervals, with one round of each VM per interval.
 func (c *cluster) rounds(count int, vms ...*vm) {
 	for range count {
 		c.now.Add(int64(interval))
@@ -128,8 +128,8 @@
 	}
 }
 
-// cutListener counts bytes, and can be cut off like a link.
-type cutListener struct {
+// testListener counts bytes and can simulate a network partition.
+type testListener struct {
 	net.Listener
 	bytes *atomic.Int64
 	cut   atomic.Bool
@@ -137,7 +137,7 @@
 	conns []net.Conn
 }
 
-func (l *cutListener) Accept() (net.Conn, error) {
+func (l *testListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
@@ -154,8 +154,8 @@
 	}
 }
 
-// sever breaks what is open and all that comes, until mended.
-func (l *cutListener) sever() {
+// cutOff closes all open and new connections until restore is called.
+func (l *testListener) cutOff() {
 	l.cut.Store(true)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,4 +165,4 @@
 	l.conns = nil
 }
 
-func (l *cutListener) mend() { l.cut.Store(false) }
+func (l *testListener) restore() { l.cut.Store(false) }
--- a/internal/peer/gossip/confirm.go
+++ b/internal/peer/gossip/confirm.go
@@ -8,25 +8,26 @@
 	"syscall"
 )
 
-// confirmCalls bounds the VMs asked by Confirm. In a larger data centre the rest
-// have the urgent pushes only.
-const confirmCalls = 64
+// maxConfirmTargets is the maximum number of VMs that Confirm exchanges with. In a
+// larger deployment the remaining VMs rely on the urgent pushes alone.
+const maxConfirmTargets = 64
 
-// Confirm exchanges with every VM that may live, those of this data centre
-// first, until ctx ends. When it returns, each side has what the other had, and
-// the subscribers were called. It lists the VMs of which that can't be said. A
-// VM that refuses the connection serves no callers either and isn't listed.
+// Confirm exchanges with every VM that may be live, up to maxConfirmTargets of them
+// and this data centre first, until ctx is done. After a successful exchange both
+// sides have merged each other's state and the subscribers have been called.
+// missing lists the VMs whose exchange failed. A VM that refuses the connection
+// serves no clients either and isn't listed.
 func (g *Gossip) Confirm(ctx context.Context) (missing []string) {
 	var (
-		calls sync.WaitGroup
-		mu    sync.Mutex
+		wg sync.WaitGroup
+		mu sync.Mutex
 	)
 	for _, vm := range g.confirmTargets() {
-		calls.Go(func() {
+		wg.Go(func() {
 			err := g.Exchange(ctx, vm)
 			if err != nil && ctx.Err() == nil {
-				// A connection that was kept breaks when its VM dies; only a new
-				// one tells whether anybody is there.
+				// A pooled connection breaks when its VM dies. Retry on a new
+				// connection to find out whether a process is listening.
 				err = g.Exchange(ctx, vm)
 			}
 			if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
@@ -37,7 +38,7 @@
 			missing = append(missing, vm)
 		})
 	}
-	calls.Wait()
+	wg.Wait()
 	slices.Sort(missing)
 	return missing
 }
@@ -45,29 +46,30 @@
 func (g *Gossip) confirmTargets() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	targets, far := g.callable()
+	targets, remote := g.reachableVMs()
 	var others []string
-	for _, names := range far {
+	for _, names := range remote {
 		others = append(others, names...)
 	}
 	slices.Sort(others)
 	targets = append(targets, others...)
-	return targets[:min(confirmCalls, len(targets))]
+	return targets[:min(maxConfirmTargets, len(targets))]
 }
 
-// Meet talks to the contacts that are not known yet. Without it VMs that start
-// together know nobody for some rounds, and urgent news goes to no one.
+// Meet exchanges with contacts that are not in the directory yet, at most
+// ownFanOut of them. Without it, VMs that start together know no other VM for
+// some rounds, and their urgent entries are pushed to nobody.
 func (g *Gossip) Meet(ctx context.Context) {
 	known := []string{g.self.Address}
 	for _, member := range g.options.Directory.Members() {
 		known = append(known, member.Address)
 	}
-	asked := 0
+	contacted := 0
 	for _, address := range g.options.Contacts() {
-		if slices.Contains(known, address) || asked >= fanOutOwn {
+		if slices.Contains(known, address) || contacted >= ownFanOut {
 			continue
 		}
-		asked++
-		g.call(func() { g.contact(ctx, address) })
+		contacted++
+		g.startCall(func() { g.contact(ctx, address) })
 	}
 }
--- a/internal/peer/gossip/exchange.go
+++ b/internal/peer/gossip/exchange.go
@@ -14,19 +14,19 @@
 	"oleandershunt.example/oleandershunt/internal/peer/gen/peer/membership/v1/membershipv1connect"
 )
 
-// Exchange talks to one VM: the first call shows what each side has, the second
-// brings what the other side lacks.
+// Exchange reconciles state with one VM: the first call compares digests and
+// returns what this VM lacks, the second sends what the other VM lacks.
 func (g *Gossip) Exchange(ctx context.Context, vm string) error {
 	client, err := g.client(vm)
 	if err != nil {
 		return err
 	}
 	_, err = g.exchange(ctx, vm, client)
-	g.note(vm, err)
+	g.recordCall(vm, err)
 	return err
 }
 
-// contact talks to an address whose VM may not be known.
+// contact exchanges with an address whose VM may be unknown.
 func (g *Gossip) contact(ctx context.Context, address string) {
 	httpClient, url := g.options.Dialer.Seed(address)
 	_, _ = g.exchange(ctx, "", newClient(httpClient, url))
@@ -36,20 +36,20 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	g.mu.Lock()
-	hello := g.hello(vm)
+	first := g.firstMessage(vm)
 	g.mu.Unlock()
-	answer, err := send(ctx, client, hello)
+	answer, err := send(ctx, client, first)
 	if err != nil {
 		return nil, err
 	}
-	reply := g.take(vm, answer)
+	reply := g.handleMessage(vm, answer)
 	if len(reply.GetDigests()) == 0 && len(reply.GetDeltas()) == 0 {
 		return answer, nil
 	}
 	if answer, err = send(ctx, client, reply); err != nil {
 		return nil, err
 	}
-	g.take(vm, answer)
+	g.handleMessage(vm, answer)
 	return answer, nil
 }
 
@@ -61,45 +61,46 @@
 	return response.Msg.GetMessage(), nil
 }
 
-// handler answers the other VMs' calls.
+// handler serves the membership service for other VMs.
 type handler struct{ *Gossip }
 
-// Handler is the connect-go handler of the gossip, for peer.Server.Handle.
+// Handler returns the path and connect-go handler to pass to peer.Server.Handle.
 func (g *Gossip) Handler() (string, http.Handler) {
 	return membershipv1connect.NewMembershipServiceHandler(handler{g})
 }
 
-// Exchange implements the service.
+// Exchange implements MembershipServiceHandler.
 func (h handler) Exchange(_ context.Context, request *connect.Request[membershipv1.ExchangeRequest]) (*connect.Response[membershipv1.ExchangeResponse], error) {
 	from := request.Header().Get(peer.HeaderFrom)
-	reply := h.take(from, request.Msg.GetMessage())
+	reply := h.handleMessage(from, request.Msg.GetMessage())
 	return connect.NewResponse(&membershipv1.ExchangeResponse{Message: reply}), nil
 }
 
-// take merges a message and makes what it asks for.
-func (g *Gossip) take(from string, message *membershipv1.Message) *membershipv1.Message {
+// handleMessage merges a message and returns the reply to it.
+func (g *Gossip) handleMessage(from string, message *membershipv1.Message) *membershipv1.Message {
 	g.mu.Lock()
 	g.vms.RecordContact(g.options.Now(), from)
-	g.merge(readDeltas(message.GetDeltas()))
-	g.releaseOf(from, message.GetRelease())
-	reply := g.message()
+	g.merge(decodeDeltas(message.GetDeltas()))
+	g.recordRelease(from, message.GetRelease())
+	reply := g.newMessage()
 	for _, d := range message.GetDigests() {
-		g.answer(from, d, reply)
+		g.replyToDigest(from, d, reply)
 	}
-	g.answerMissing(from, message, reply)
+	g.addMissingDataCentres(from, message, reply)
 	g.mu.Unlock()
-	g.drain()
+	g.runCallbacks()
 	return reply
 }
 
-func (g *Gossip) message() *membershipv1.Message {
+func (g *Gossip) newMessage() *membershipv1.Message {
 	return &membershipv1.Message{DataCentre: g.self.DataCentre, Release: g.release}
 }
 
-// hello shows what this VM has: all marks of the Local streams to a VM of its
-// data centre, and of State one number for each data centre.
-func (g *Gossip) hello(vm string) *membershipv1.Message {
-	message := g.message()
+// firstMessage builds the first message of an exchange. It holds the watermarks of all
+// Local streams if the VM is in the same data centre, and one hash of the State
+// streams for each data centre.
+func (g *Gossip) firstMessage(vm string) *membershipv1.Message {
+	message := g.newMessage()
 	if member, ok := g.options.Directory.Member(vm); ok && member.DataCentre == g.self.DataCentre {
 		d := g.localDigest(vm)
 		d.Ask = true
@@ -111,18 +112,19 @@
 	return message
 }
 
-// localDigest leaves the origins out if the VM was last heard with the same set.
+// localDigest returns the digest of the Local streams. It omits the origins if
+// the last message from the VM had the same set of origins.
 func (g *Gossip) localDigest(vm string) *membershipv1.Digest {
 	d := &membershipv1.Digest{DataCentre: g.self.DataCentre, Local: true, Sum: g.store.OriginsHash(g.self.DataCentre)}
-	d.Origins, d.Versions = wireMarks(g.store.Watermarks(g.self.DataCentre, digest.Local), !g.agreed[vm])
+	d.Origins, d.Versions = encodeWatermarks(g.store.Watermarks(g.self.DataCentre, digest.Local), !g.sameOrigins[vm])
 	return d
 }
 
-// answer adds to a reply what a digest shows that its sender lacks, and the own
-// digest where the sender asks for it.
-func (g *Gossip) answer(from string, d *membershipv1.Digest, reply *membershipv1.Message) {
+// replyToDigest adds to the reply the deltas that the sender of a digest lacks,
+// and this VM's own digest if the sender asks for it.
+func (g *Gossip) replyToDigest(from string, d *membershipv1.Digest, reply *membershipv1.Message) {
 	if d.GetLocal() {
-		g.answerLocal(from, d, reply)
+		g.replyToLocalDigest(from, d, reply)
 		return
 	}
 	dataCentre := d.GetDataCentre()
@@ -130,8 +132,8 @@
 		return
 	}
 	if d.GetFull() {
-		if marks, ok := readMarks(d, g.store.Watermarks(dataCentre, digest.State)); ok {
-			reply.Deltas = append(reply.Deltas, wireDeltas(g.store.Deltas(dataCentre, digest.State, marks, messageBudget))...)
+		if marks, ok := decodeWatermarks(d, g.store.Watermarks(dataCentre, digest.State)); ok {
+			reply.Deltas = append(reply.Deltas, encodeDeltas(g.store.Deltas(dataCentre, digest.State, marks, messageBudget))...)
 		}
 	}
 	if !d.GetAsk() {
@@ -140,51 +142,52 @@
 	reply.Digests = append(reply.Digests, g.stateDigest(from, dataCentre, !d.GetFull()))
 }
 
-// stateDigest leaves the origins out like localDigest. Should the sets have come
-// to differ since, the marks are misread once: what is sent too much changes
-// nothing, and what is sent too little comes with a later exchange.
+// stateDigest returns the digest of a data centre's State streams. It omits the
+// origins like localDigest. If the sets have diverged since, the receiver
+// misreads the watermarks once: redundant deltas have no effect, and missing ones
+// arrive with a later exchange.
 func (g *Gossip) stateDigest(vm, dataCentre string, ask bool) *membershipv1.Digest {
-	same := dataCentre == g.self.DataCentre && g.agreed[vm]
+	same := dataCentre == g.self.DataCentre && g.sameOrigins[vm]
 	d := &membershipv1.Digest{DataCentre: dataCentre, Sum: g.store.StateHash(dataCentre), Ask: ask, Full: true}
-	d.Origins, d.Versions = wireMarks(g.store.Watermarks(dataCentre, digest.State), !same)
+	d.Origins, d.Versions = encodeWatermarks(g.store.Watermarks(dataCentre, digest.State), !same)
 	return d
 }
 
-// answerMissing shows to a VM that asks what this one has of data centres which
-// the other does not know at all.
-func (g *Gossip) answerMissing(from string, message, reply *membershipv1.Message) {
-	asked := make(map[string]bool)
-	hello := false
+// addMissingDataCentres adds digests of the data centres that the sender of a first
+// message did not mention.
+func (g *Gossip) addMissingDataCentres(from string, message, reply *membershipv1.Message) {
+	mentioned := make(map[string]bool)
+	first := false
 	for _, d := range message.GetDigests() {
 		if !d.GetLocal() {
-			asked[d.GetDataCentre()] = true
-			hello = hello || (d.GetAsk() && !d.GetFull())
+			mentioned[d.GetDataCentre()] = true
+			first = first || (d.GetAsk() && !d.GetFull())
 		}
 	}
-	if !hello {
+	if !first {
 		return
 	}
 	for _, dataCentre := range g.store.DataCentres() {
-		if !asked[dataCentre] {
+		if !mentioned[dataCentre] {
 			reply.Digests = append(reply.Digests, g.stateDigest(from, dataCentre, true))
 		}
 	}
 }
 
-func (g *Gossip) answerLocal(from string, d *membershipv1.Digest, reply *membershipv1.Message) {
+func (g *Gossip) replyToLocalDigest(from string, d *membershipv1.Digest, reply *membershipv1.Message) {
 	if d.GetDataCentre() != g.self.DataCentre {
 		return
 	}
 	own := g.store.Watermarks(g.self.DataCentre, digest.Local)
-	g.agreed[from] = d.GetSum() == g.store.OriginsHash(g.self.DataCentre)
+	g.sameOrigins[from] = d.GetSum() == g.store.OriginsHash(g.self.DataCentre)
 	if !d.GetAsk() && len(d.GetBare()) == 0 && len(d.GetVersions()) == 0 {
 		return
 	}
 	answer := g.localDigest(from)
-	// Without origins the versions are in the order of the sender's set. If
-	// that is another, the next exchange brings the origins as well.
-	if marks, ok := readMarks(d, own); ok && (len(d.GetOrigins()) > 0 || g.agreed[from]) {
-		g.takeBeats(d, marks)
+	// Without origins the versions are in the order of the sender's set of
+	// origins. If the sets differ, the next exchange includes the origins.
+	if marks, ok := decodeWatermarks(d, own); ok && (len(d.GetOrigins()) > 0 || g.sameOrigins[from]) {
+		g.applyHeartbeats(d, marks)
 		bare := g.store.HeartbeatOnly(g.self.DataCentre, marks)
 		for i, mark := range own {
 			if _, ok := bare[mark.ID]; ok {
@@ -193,7 +196,7 @@
 		}
 		for _, delta := range g.store.Deltas(g.self.DataCentre, digest.Local, marks, messageBudget) {
 			if _, ok := bare[delta.ID]; !ok {
-				reply.Deltas = append(reply.Deltas, wireDelta(delta))
+				reply.Deltas = append(reply.Deltas, encodeDelta(delta))
 			}
 		}
 	}
@@ -202,31 +205,32 @@
 	}
 }
 
-// takeBeats takes the versions of origins of which nothing else is new.
-func (g *Gossip) takeBeats(d *membershipv1.Digest, marks []digest.Watermark) {
-	var beats []digest.Watermark
+// applyHeartbeats applies the versions of origins that have only a newer heartbeat.
+func (g *Gossip) applyHeartbeats(d *membershipv1.Digest, marks []digest.Watermark) {
+	var heartbeats []digest.Watermark
 	for _, i := range d.GetBare() {
 		if int(i) < len(marks) {
-			beats = append(beats, marks[i])
+			heartbeats = append(heartbeats, marks[i])
 		}
 	}
-	for _, name := range g.store.ApplyHeartbeats(beats) {
+	for _, name := range g.store.ApplyHeartbeats(heartbeats) {
 		g.vms.RecordContact(g.options.Now(), name)
 	}
 }
 
-// note takes the end of a call as a sign of life, or of death.
-func (g *Gossip) note(vm string, err error) {
+// recordCall records the outcome of a call for failure detection: a success counts as
+// contact, a refused connection as a sign that the VM has stopped.
+func (g *Gossip) recordCall(vm string, err error) {
 	g.mu.Lock()
 	switch {
 	case err == nil:
 		g.vms.RecordContact(g.options.Now(), vm)
 	case errors.Is(err, syscall.ECONNREFUSED):
 		g.vms.ConnectionRefused(vm)
-		g.tickVMs()
+		g.updateVMStates()
 	}
 	g.mu.Unlock()
-	g.drain()
+	g.runCallbacks()
 }
 
 func (g *Gossip) client(vm string) (membershipv1connect.MembershipServiceClient, error) {
@@ -245,7 +249,7 @@
 }
 
 func newClient(httpClient *http.Client, url string) membershipv1connect.MembershipServiceClient {
-	// Messages are small and mostly hashes: compression would cost more
-	// processor time than it saves bytes.
+	// Messages are small and mostly hashes, so compression would cost more CPU
+	// time than it saves in bytes.
 	return membershipv1connect.NewMembershipServiceClient(httpClient, url, connect.WithAcceptCompression("gzip", nil, nil))
 }
--- a/internal/peer/gossip/gossip.go
+++ b/internal/peer/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package gossip spreads what VMs know among them: who lives, what each holds
-// of the backend servers, loads, use of accounts, findings and the release in
-// force. It does the talking; what is merged and how is in core/digest, who is
-// judged to live in core/fleet.
+// Package gossip replicates state among the VMs: membership, the assessments of
+// backend servers, loads, client account usage, other findings and the release
+// in force. It implements the exchange of messages. Package core/digest
+// implements the replicated store and its merge, core/fleet the failure detection.
 package gossip
 
 import (
@@ -17,79 +17,85 @@
 	"oleandershunt.example/oleandershunt/internal/peer/gen/peer/membership/v1/membershipv1connect"
 )
 
-// Keys of the entries that the gossip itself needs.
+// Keys of the entries that this package itself writes.
 const (
 	// keyMember is the VM's peer.Member as JSON.
 	keyMember = "m"
-	// keyAlive changes now and then, so that other data centres see the VM live.
-	keyAlive = "t"
-	// keyRelease is the release in force: in Local that of the VM, in State, by
-	// one VM of each data centre, those of all its VMs.
+	// keyRemoteHeartbeat is rewritten periodically as a heartbeat for other data
+	// centres.
+	keyRemoteHeartbeat = "t"
+	// keyRelease is the release in force. In the Local stream it is that of the
+	// VM; in the State stream one VM of each data centre writes a summary for all
+	// VMs of the data centre.
 	keyRelease = "r"
-	// prefixVM says of another VM that it can't be reached.
-	prefixVM = "v/"
+	// prefixDownReport is followed by the name of a VM that is reported as down.
+	prefixDownReport = "v/"
 )
 
-// The pace and bounds of the talk.
+// Rates and limits of the gossip.
 const (
-	// fanOut is the number of VMs that urgent news is passed on to, each of the
-	// pushes times; fanOutOwn that to which the VM with the news pushes first.
+	// fanOut is the number of VMs of this data centre to which a VM forwards
+	// urgent entries of other VMs; ownFanOut is the number for its own entries.
+	// Each entry is pushed pushCount times.
 	fanOut    = 3
-	fanOutOwn = 8
-	pushes    = 2
-	// watchers is the number of VMs that watch a VM on behalf of other data centres.
-	watchers = 3
-	// contactEvery is the number of rounds between tries of a VM that is not
-	// known to live, through which islands find each other.
-	contactEvery = 5
-	// aliveEvery is the least number of rounds between signs of life to other
-	// data centres, and aliveEach what each VM adds to it.
-	aliveEvery = 60
-	aliveEach  = 2
-	// farGoneRounds is how long a VM of another data centre may give no sign.
-	// Those that watch it there tell of its end far sooner.
-	farGoneRounds = 6000
-	// purgeRounds is how long withdrawals are kept.
-	purgeRounds = 3600
-	// summaryEvery is the least number of rounds between two summaries of a data
-	// centre, and summaryEach how many VMs add one: all of them together then
-	// cost the same however many VMs there are.
-	summaryEvery = 2
-	summaryEach  = 40
-	// messageBudget bounds the deltas of one message, in bytes.
+	ownFanOut = 8
+	pushCount = 2
+	// observersPerVM is the number of VMs that observe a VM on behalf of other data
+	// centres.
+	observersPerVM = 3
+	// contactIntervalRounds is the number of rounds between attempts to contact a
+	// VM that is not known to be live, which rejoins the parts of a partitioned
+	// cluster.
+	contactIntervalRounds = 5
+	// remoteHeartbeatMinRounds is the minimum number of rounds between heartbeats
+	// to other data centres; each known VM adds remoteHeartbeatRoundsPerVM rounds.
+	remoteHeartbeatMinRounds   = 60
+	remoteHeartbeatRoundsPerVM = 2
+	// remoteGoneRounds is the number of rounds without a heartbeat after which a VM
+	// of another data centre is gone. Its observers there report it far sooner.
+	remoteGoneRounds = 6000
+	// tombstoneRounds is the number of rounds for which tombstones are kept.
+	tombstoneRounds = 3600
+	// summaryMinRounds is the minimum number of rounds between two release summaries
+	// of a data centre; every summaryVMsPerRound VMs add one round, so that the total
+	// cost of the summaries does not depend on the number of VMs.
+	summaryMinRounds   = 2
+	summaryVMsPerRound = 40
+	// messageBudget is the maximum size of the deltas in one message, in bytes.
 	messageBudget = 48 << 10
-	// maxCalls bounds the calls under way.
+	// maxCalls is the maximum number of outgoing calls in flight.
 	maxCalls = 16
-	// exchangeTimeout bounds one call.
+	// exchangeTimeout limits an exchange, or the delivery of one push.
 	exchangeTimeout = 2 * time.Second
-	// pushDelay collects urgent news, so that much at once goes as one message.
+	// pushDelay batches urgent entries into one message.
 	pushDelay = 10 * time.Millisecond
-	// pushAgain is when the news is pushed once more, to other VMs: one push
-	// leaves a few out, who would wait for a round.
-	pushAgain = 200 * time.Millisecond
+	// pushRepeatDelay is the delay before entries are pushed again, to other randomly
+	// chosen VMs: a single push misses a few VMs, which would wait for a round.
+	pushRepeatDelay = 200 * time.Millisecond
 )
 
-// Options are what a gossip needs.
+// Options configures a Gossip.
 type Options struct {
-	// Self is this VM. Its incarnation is given apart, as a number.
+	// Self is this VM. Incarnation is its incarnation as a number.
 	Self        peer.Member
 	Incarnation uint64
 	Directory   *peer.Directory
 	Dialer      *peer.Dialer
 	// Interval is the time between two rounds.
 	Interval time.Duration
-	// Contacts lists addresses to try when no VM is known, or islands may exist.
+	// Contacts returns addresses to try when no VM is known or the cluster may be
+	// partitioned.
 	Contacts func() []string
-	// Now is the time on the VM's clock.
+	// Now returns the time on the VM's clock.
 	Now func() time.Duration
-	// Seed starts the random choice of VMs to talk to.
+	// Seed seeds the random choice of VMs to exchange with.
 	Seed uint64
 }
 
-// Gossip is one VM's part in the talk. It is safe for concurrent use.
+// Gossip runs the gossip protocol of one VM. It is safe for concurrent use.
 type Gossip struct {
-	options Options
-	calls   chan struct{}
+	options   Options
+	callSlots chan struct{}
 
 	mu     sync.Mutex
 	store  *digest.Store
@@ -97,51 +103,51 @@
 	random *rand.Rand
 	self   peer.Member
 	round  uint64
-	// release is the newest release in force here.
-	release      uint64
-	summaryRound uint64
-	aliveRound   uint64
-	// agreed are the VMs whose last message had the same set of members.
-	agreed  map[string]bool
-	clients map[string]membershipv1connect.MembershipServiceClient
-	// withdrawn are this VM's withdrawals, to be forgotten when they are old.
-	withdrawn []withdrawal
-	// urgent is the news to be pushed, with how often that is left to do.
-	urgent   map[news]int
-	pushSoon bool
-	queue    []func()
+	// release is the newest release in force on this VM.
+	release            uint64
+	nextSummaryRound   uint64
+	nextHeartbeatRound uint64
+	// sameOrigins holds the VMs whose last message had the same set of origins.
+	sameOrigins map[string]bool
+	clients     map[string]membershipv1connect.MembershipServiceClient
+	// tombstones lists this VM's tombstones, oldest first, for purging.
+	tombstones []tombstone
+	// pendingPushes holds the entries to push, with the number of pushes left.
+	pendingPushes map[entryRef]int
+	pushScheduled bool
+	callbacks     []func()
 
-	// notify is held while subscribers are called, so that they hear in order.
-	notify      sync.Mutex
+	// notifyMu is held while subscribers are called, which keeps the calls in order.
+	notifyMu    sync.Mutex
 	subscribers subscribers
 }
 
-// withdrawal is the version of a withdrawn entry and the round it was made in.
-type withdrawal struct {
+// tombstone is the version of a withdrawn entry and the round of the withdrawal.
+type tombstone struct {
 	version uint64
 	round   uint64
 }
 
-// news is an entry to be pushed.
-type news struct{ origin, key string }
+// entryRef identifies an entry to be pushed.
+type entryRef struct{ origin, key string }
 
-// New makes a gossip that knows this VM only.
+// New returns a Gossip that knows only this VM.
 func New(options Options) *Gossip {
 	self := options.Self
 	g := &Gossip{
-		options: options,
-		calls:   make(chan struct{}, maxCalls),
-		self:    self,
-		store:   digest.NewStore(digest.Origin{Name: self.Name, DataCentre: self.DataCentre, Incarnation: options.Incarnation}),
-		random:  rand.New(rand.NewPCG(options.Seed, 1)),
-		agreed:  make(map[string]bool),
-		clients: make(map[string]membershipv1connect.MembershipServiceClient),
-		urgent:  make(map[news]int),
+		options:       options,
+		callSlots:     make(chan struct{}, maxCalls),
+		self:          self,
+		store:         digest.NewStore(digest.Origin{Name: self.Name, DataCentre: self.DataCentre, Incarnation: options.Incarnation}),
+		random:        rand.New(rand.NewPCG(options.Seed, 1)),
+		sameOrigins:   make(map[string]bool),
+		clients:       make(map[string]membershipv1connect.MembershipServiceClient),
+		pendingPushes: make(map[entryRef]int),
 		vms: fleet.NewVMDetector(fleet.VMDetectorOptions{
 			Self:              self.Name,
 			DataCentre:        self.DataCentre,
 			HeartbeatInterval: options.Interval,
-			RemoteGoneAfter:   farGoneRounds * options.Interval,
+			RemoteGoneAfter:   remoteGoneRounds * options.Interval,
 			ForgetAfter:       10 * time.Minute,
 			PausedAfter:       3 * options.Interval,
 		}),
@@ -151,7 +157,7 @@
 	return g
 }
 
-// Run talks once an interval until ctx ends.
+// Run performs a round every interval until ctx is done, and returns ctx.Err().
 func (g *Gossip) Run(ctx context.Context) error {
 	ticker := time.NewTicker(g.options.Interval)
 	defer ticker.Stop()
@@ -165,8 +171,9 @@
 	}
 }
 
-// Put writes an entry of this VM that goes to every data centre; an empty value
-// withdraws it. Urgent entries are pushed at once rather than with the next rounds.
+// Put writes an entry of this VM that is replicated to every data centre; an
+// empty value withdraws it. Urgent entries are pushed at once instead of waiting
+// for the next rounds.
 func (g *Gossip) Put(key string, value []byte, urgent bool) {
 	g.mu.Lock()
 	g.put(key, value, urgent)
@@ -178,28 +185,29 @@
 		return
 	}
 	if len(value) == 0 {
-		g.withdrawn = append(g.withdrawn, withdrawal{g.store.Version(digest.State), g.round})
+		g.tombstones = append(g.tombstones, tombstone{g.store.Version(digest.State), g.round})
 	}
 	if urgent {
-		g.push(news{g.self.Name, key})
+		g.push(entryRef{g.self.Name, key})
 	}
 }
 
-// PutGauge writes a small number that goes to the VMs of this data centre.
+// PutGauge writes a small number that is replicated within this data centre.
 func (g *Gossip) PutGauge(key, level uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.store.PutGauge(key, level)
 }
 
-// DropGauge leaves a gauge to another VM.
+// DropGauge stops publishing a gauge, which another VM then publishes.
 func (g *Gossip) DropGauge(key uint32) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.store.DropGauge(key)
 }
 
-// SetRelease says that a release is in force on this VM.
+// SetRelease records and announces that a release is in force on this VM. An
+// older release than the current one is ignored.
 func (g *Gossip) SetRelease(release uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,51 +215,53 @@
 		return
 	}
 	g.release = release
-	g.store.PutLocal(keyRelease, putUvarint(release))
+	g.store.PutLocal(keyRelease, encodeUvarint(release))
 	g.options.Directory.Change(g.self.Name, func(m *peer.Member) { m.Release = release })
-	// The message's head has it.
-	g.push(news{g.self.Name, keyRelease})
+	// The release itself is in the header of every message.
+	g.push(entryRef{g.self.Name, keyRelease})
 }
 
-// Leave tells the other VMs that this one is in a planned stop.
+// Leave announces to the other VMs that this VM is shutting down as planned.
 func (g *Gossip) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.self.Leaving = true
 	g.putMember()
-	g.push(news{g.self.Name, keyMember})
+	g.push(entryRef{g.self.Name, keyMember})
 }
 
-// Left tells a few VMs that this one has stopped, and waits for them to know.
+// Left announces to a few VMs that this VM has stopped, and waits for the calls
+// to finish.
 func (g *Gossip) Left(ctx context.Context) {
 	g.mu.Lock()
 	g.self.State = fleet.Gone
 	g.putMember()
 	targets := g.pushTargets(true)
-	message := g.newsMessage([]news{{g.self.Name, keyMember}})
+	message := g.entriesMessage([]entryRef{{g.self.Name, keyMember}})
 	g.mu.Unlock()
 	g.sendAll(ctx, targets, message)
 }
 
-// putMember must be called with the lock held, except while the gossip is made.
+// putMember publishes this VM's Member. It must be called with the lock held,
+// except in New.
 func (g *Gossip) putMember() {
 	value, err := json.Marshal(g.self)
 	if err != nil {
-		// A Member has no part that can't be marshalled.
+		// A Member can always be marshalled.
 		panic(err)
 	}
 	g.store.Put(keyMember, value)
 }
 
-// VMs lists the judgements on the other VMs.
+// VMs returns the statuses of the other VMs.
 func (g *Gossip) VMs() []fleet.VMStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.vms.Statuses()
 }
 
-// LiveVMs lists the VMs that watch and probe, by data centre: those that live
-// or may live, this one included.
+// LiveVMs returns the names of the VMs that observe and probe, by data centre:
+// those that are live or suspect, including this one.
 func (g *Gossip) LiveVMs() map[string][]string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -264,7 +274,7 @@
 	return live
 }
 
-// DataCentre is where a VM stands; empty when the VM isn't known.
+// DataCentre returns the data centre of a VM, or "" if the VM is unknown.
 func (g *Gossip) DataCentre(vm string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/peer/gossip/gossip_test.go
+++ b/internal/peer/gossip/gossip_test.go
@@ -10,8 +10,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/fleet"
 )
 
-// trio starts three VMs in one data centre that know each other.
-func trio(t *testing.T) (*cluster, []*vm) {
+// startThreeVMs starts three VMs in one data centre that know each other.
+func startThreeVMs(t *testing.T) (*cluster, []*vm) {
 	c := newCluster(t)
 	a := c.start("vm-1", "bornova", 1)
 	b := c.start("vm-2", "bornova", 1, a)
@@ -23,11 +23,10 @@
 	return c, []*vm{a, b, d}
 }
 
-// Symptom: calls go to a VM that died, and none to one that has just started.
-// Sequence: the platform's list still has the dead VM and lacks the new one.
-// Cause: the list, which lags, decided alone.
-func TestAStaleListNeitherKeepsADeadVMNorHidesANewOne(t *testing.T) {
-	c, vms := trio(t)
+// The platform's list of VMs is stale: it still has a dead VM and lacks a new
+// one. Membership must not depend on that list alone.
+func TestStaleContactsNeitherKeepDeadVMNorHideNewVM(t *testing.T) {
+	c, vms := startThreeVMs(t)
 	dead := vms[2]
 	dead.kill()
 	fresh := c.start("vm-4", "bornova", 1, dead, vms[0])
@@ -41,41 +40,38 @@
 	c.Expect(vms[0].state(dead.name)).To(Equal(fleet.Gone))
 }
 
-// Symptom: seconds pass before all VMs know that a server leaves. Sequence: one
-// VM learns it; the others hear with their next rounds. Cause: news waited for
-// a round instead of being pushed.
-func TestUrgentNewsNeedsNoRound(t *testing.T) {
-	c, vms := trio(t)
+// An urgent entry, such as a server that is leaving, must be pushed at once. If it
+// waited for the next rounds, the other VMs would learn of it seconds later.
+func TestUrgentEntryIsPushedWithoutRound(t *testing.T) {
+	c, vms := startThreeVMs(t)
 	vms[0].Put("s/runner-1", []byte("leaving"), true)
 	for _, v := range vms[1:] {
-		c.Eventually(func() string { return v.opinion("vm-1 on runner-1") }).Should(Equal("leaving"))
+		c.Eventually(func() string { return v.entry("vm-1 on runner-1") }).Should(Equal("leaving"))
 	}
 }
 
-// Symptom: a body that crashed servers through one VM starts afresh at another.
-// Sequence: a VM writes what it found, and pushes it to nobody in particular;
-// another asks before it decides. Cause: word that had not come was taken for
-// nothing to tell. A VM that can't be asked is named, one that is dead is not.
-func TestConfirmBringsBothSidesLevelAndNamesWhoIsMissing(t *testing.T) {
-	c, vms := trio(t)
-	far := c.start("vm-4", "gaziemir", 1, vms[0])
-	c.rounds(10, append(vms, far)...)
+// A request body that crashed servers through one VM must not be retried from
+// scratch by another VM that has not received the finding yet: Confirm fetches
+// it first. A VM that can't be reached is reported as missing, a dead one is not.
+func TestConfirmExchangesStateAndReportsUnreachableVMs(t *testing.T) {
+	c, vms := startThreeVMs(t)
+	remote := c.start("vm-4", "gaziemir", 1, vms[0])
+	c.rounds(10, append(vms, remote)...)
 	vms[0].Put("s/runner-1", []byte("here"), false)
-	far.Put("s/runner-2", []byte("there"), false)
+	remote.Put("s/runner-2", []byte("there"), false)
 	c.Expect(vms[1].Confirm(t.Context())).To(BeEmpty())
-	c.Expect(vms[1].opinion("vm-1 on runner-1")).To(Equal("here"))
-	c.Expect(vms[1].opinion("vm-4 on runner-2")).To(Equal("there"))
-	far.listener.sever()
+	c.Expect(vms[1].entry("vm-1 on runner-1")).To(Equal("here"))
+	c.Expect(vms[1].entry("vm-4 on runner-2")).To(Equal("there"))
+	remote.listener.cutOff()
 	vms[2].kill()
 	c.Expect(vms[0].Confirm(t.Context())).To(Equal([]string{"vm-4"}))
-	far.listener.mend()
+	remote.listener.restore()
 	c.Expect(vms[0].Confirm(t.Context())).To(BeEmpty())
 }
 
-// Symptom: urgent news of a VM that has just started goes to nobody. Sequence:
-// VMs start together; each has the others' addresses, and asks one a round.
-// Cause: VMs that know each other only after some rounds.
-func TestVMsThatStartTogetherMeetWithoutARound(t *testing.T) {
+// VMs that start together and contact one address a round know each other only
+// after some rounds; until then their urgent entries would be pushed to nobody.
+func TestVMsStartingTogetherMeetWithoutRound(t *testing.T) {
 	c := newCluster(t)
 	a := c.start("vm-1", "bornova", 1)
 	b := c.start("vm-2", "karsiyaka", 1)
@@ -84,73 +80,71 @@
 	d.Wait()
 	d.Put("s/runner-1", []byte("crashed"), true)
 	for _, v := range []*vm{a, b} {
-		c.Eventually(func() string { return v.opinion("vm-3 on runner-1") }, "10s").Should(Equal("crashed"))
+		c.Eventually(func() string { return v.entry("vm-3 on runner-1") }, "10s").Should(Equal("crashed"))
 	}
 }
 
-// Symptom: after a partition a VM goes back to what held before. Sequence: two
-// halves go on apart, each changes its opinions, the link heals, and old
-// messages arrive late. Cause: the merge took the last message for the newest.
-func TestAHealedPartitionConvergesAndNothingReverts(t *testing.T) {
-	c, vms := trio(t)
+// Both sides of a partition change their entries, then the partition heals and old
+// messages arrive late. No VM may revert to the state before the partition, as
+// it would if the merge took the last message for the newest.
+func TestHealedPartitionConvergesWithoutReverting(t *testing.T) {
+	c, vms := startThreeVMs(t)
 	vms[0].Put("s/runner-1", []byte("before"), true)
 	for _, v := range vms[1:] {
-		c.Eventually(func() string { return v.opinion("vm-1 on runner-1") }).Should(Equal("before"))
+		c.Eventually(func() string { return v.entry("vm-1 on runner-1") }).Should(Equal("before"))
 	}
-	alone := vms[2]
-	alone.listener.sever()
-	vms[0].listener.sever()
-	vms[1].listener.sever()
+	isolated := vms[2]
+	isolated.listener.cutOff()
+	vms[0].listener.cutOff()
+	vms[1].listener.cutOff()
 	vms[0].Put("s/runner-1", []byte("after"), true)
-	alone.Put("s/runner-2", []byte("after"), true)
+	isolated.Put("s/runner-2", []byte("after"), true)
 	c.rounds(20, vms...)
-	c.Expect(alone.state("vm-1")).To(Equal(fleet.Gone))
+	c.Expect(isolated.state("vm-1")).To(Equal(fleet.Gone))
 	for _, v := range vms {
-		v.listener.mend()
+		v.listener.restore()
 	}
 	c.rounds(25, vms...)
-	c.Expect(alone.opinion("vm-1 on runner-1")).To(Equal("after"))
-	c.Expect(vms[1].opinion("vm-3 on runner-2")).To(Equal("after"))
-	c.Expect(alone.state("vm-1")).To(Equal(fleet.Live))
+	c.Expect(isolated.entry("vm-1 on runner-1")).To(Equal("after"))
+	c.Expect(vms[1].entry("vm-3 on runner-2")).To(Equal("after"))
+	c.Expect(isolated.state("vm-1")).To(Equal(fleet.Live))
 	for _, v := range vms {
 		c.Expect(v.directory.Members()).To(HaveLen(3), v.name)
 	}
 }
 
-// Symptom: a VM that was paused declares all others gone. Sequence: it is
-// stopped for a minute and goes on. Cause: it took its own pause for the
-// others' silence.
-func TestAPausedVMDoesNotCountTheOthersOut(t *testing.T) {
-	c, vms := trio(t)
+// A VM that was paused for a minute must not take its own pause for missed
+// heartbeats of the others and declare them all gone.
+func TestPausedVMDoesNotDeclareOthersGone(t *testing.T) {
+	c, vms := startThreeVMs(t)
 	c.now.Add(int64(time.Minute))
 	vms[0].Round(t.Context())
 	vms[0].Wait()
 	c.Expect(vms[0].directory.Members()).To(HaveLen(3))
 }
 
-// Symptom: the others ignore a VM that was replaced. Sequence: its new process
-// starts on a machine whose clock is behind, so that its incarnation is lower
-// than that of the one before. Cause: the newest was told by the number alone.
-func TestANewProcessWithALowerIncarnationIsTaken(t *testing.T) {
-	c, vms := trio(t)
+// A replaced VM whose machine has a clock that is behind starts with a lower
+// incarnation than its predecessor. The other VMs must not ignore it.
+func TestNewProcessWithLowerIncarnationIsAccepted(t *testing.T) {
+	c, vms := startThreeVMs(t)
 	old := c.start("vm-4", "bornova", 100, vms[0])
 	old.Put("s/runner-1", []byte("old"), true)
 	c.rounds(8, append(vms, old)...)
-	c.Expect(vms[0].opinion("vm-4 on runner-1")).To(Equal("old"))
+	c.Expect(vms[0].entry("vm-4 on runner-1")).To(Equal("old"))
 	old.kill()
 	fresh := c.start("vm-4", "bornova", 7, vms[0])
 	fresh.Put("s/runner-1", []byte("new"), true)
 	c.rounds(12, append(vms, fresh)...)
 	for _, v := range vms {
-		c.Expect(v.opinion("vm-4 on runner-1")).To(Equal("new"), v.name)
+		c.Expect(v.entry("vm-4 on runner-1")).To(Equal("new"), v.name)
 		member, _ := v.directory.Member("vm-4")
 		c.Expect(member.Address).To(Equal(fresh.listener.Addr().String()))
 	}
 }
 
-// Symptom: in a large data centre VMs suspect each other all the time, and the
-// gossip is full of it. Sequence: nothing fails; heartbeats take more rounds the
-// more VMs there are. Cause: a limit on the silence that did not grow with them.
+// Heartbeats take more rounds to spread the more VMs there are. With a fixed
+// timeout, the VMs of a large data centre would suspect each other all the time
+// and flood the gossip, although nothing fails.
 func TestManyVMsDoNotSuspectEachOther(t *testing.T) {
 	c := newCluster(t)
 	for i := range 24 {
@@ -167,8 +161,8 @@
 	}
 }
 
-func TestAVMThatStopsAsPlannedIsGoneAtOnce(t *testing.T) {
-	c, vms := trio(t)
+func TestPlannedStopMarksVMGoneAtOnce(t *testing.T) {
+	c, vms := startThreeVMs(t)
 	vms[2].Leave()
 	c.Eventually(func() fleet.State {
 		vms[0].Round(t.Context())
@@ -180,19 +174,18 @@
 	}
 }
 
-// Symptom: VMs of one data centre know nothing of another's servers. Sequence:
-// opinions stay where they were formed. Cause: only the own data centre's
-// streams were exchanged.
+// State entries must reach the VMs of other data centres. If only the streams of
+// the own data centre were exchanged, VMs would know nothing of remote servers.
 func TestStateCrossesDataCentresAndLocalStreamsDoNot(t *testing.T) {
 	c := newCluster(t)
 	a := c.start("vm-1", "bornova", 1)
 	b := c.start("vm-2", "gaziemir", 1, a)
-	far := c.start("vm-3", "gaziemir", 1, b)
-	c.rounds(10, a, b, far)
+	remote := c.start("vm-3", "gaziemir", 1, b)
+	c.rounds(10, a, b, remote)
 	a.Put("s/runner-1", []byte("silent"), true)
-	c.Eventually(func() string { return far.opinion("vm-1 on runner-1") }).Should(Equal("silent"))
+	c.Eventually(func() string { return remote.entry("vm-1 on runner-1") }).Should(Equal("silent"))
 	a.SetRelease(7)
-	c.rounds(10, a, b, far)
-	member, _ := far.directory.Member("vm-1")
+	c.rounds(10, a, b, remote)
+	member, _ := remote.directory.Member("vm-1")
 	c.Expect(member.Release).To(BeEquivalentTo(7))
 }
--- a/internal/peer/gossip/merge.go
+++ b/internal/peer/gossip/merge.go
@@ -10,18 +10,19 @@
 	"oleandershunt.example/oleandershunt/internal/peer"
 )
 
-// merge takes deltas from another VM. It must be called with the lock held;
-// drain must follow once it is released.
+// merge applies deltas from another VM. It must be called with the lock held;
+// the caller must call runCallbacks after releasing the lock.
 func (g *Gossip) merge(deltas []digest.Delta) {
 	merged := g.store.Merge(deltas)
 	now := g.options.Now()
 	if merged.ConflictingIncarnation != 0 {
-		// An earlier process of this VM had a higher number, as after a clock
-		// was set back. Above it, the others take this one for the newer.
+		// An earlier process of this VM had a higher incarnation, for example
+		// because the clock was set back. Use a higher one than that, so that
+		// the other VMs take this process as the newer.
 		g.store.SetIncarnation(merged.ConflictingIncarnation + 1)
 	}
 	for _, origin := range merged.Replaced {
-		// What the earlier process said is void, and must be told so.
+		// The state of the earlier process is void; report it as gone.
 		g.options.Directory.Remove(origin.Name)
 		g.announceVM(fleet.VMStatus{Name: origin.Name, DataCentre: origin.DataCentre, State: fleet.Gone, Since: now})
 	}
@@ -42,7 +43,7 @@
 	switch {
 	case change.Stream == digest.Local && change.Key == keyRelease:
 		release, _ := binary.Uvarint(change.Value)
-		g.releaseOf(vm, release)
+		g.recordRelease(vm, release)
 		return
 	case change.Stream == digest.Local:
 		return
@@ -54,11 +55,11 @@
 	switch {
 	case change.Key == keyMember:
 		g.mergeMember(change)
-	case strings.HasPrefix(change.Key, prefixVM):
-		g.vms.SetDownReport(vm, strings.TrimPrefix(change.Key, prefixVM), len(change.Value) > 0)
-	case change.Key != keyAlive:
+	case strings.HasPrefix(change.Key, prefixDownReport):
+		g.vms.SetDownReport(vm, strings.TrimPrefix(change.Key, prefixDownReport), len(change.Value) > 0)
+	case change.Key != keyRemoteHeartbeat:
 		g.announceEntry(vm, change.Key, change.Value)
-		g.push(news{vm, change.Key})
+		g.push(entryRef{vm, change.Key})
 	}
 }
 
@@ -70,20 +71,20 @@
 	g.vms.SetLeaving(member.Name, member.Leaving, member.State == fleet.Gone)
 	if member.State == fleet.Gone {
 		g.options.Directory.Remove(member.Name)
-		g.tickVMs()
+		g.updateVMStates()
 		return
 	}
-	g.list(member)
+	g.addToDirectory(member)
 }
 
-// releaseOf takes a VM's word on the release in force there. An older word that
-// comes later by another way changes nothing.
-func (g *Gossip) releaseOf(vm string, release uint64) {
+// recordRelease records the release in force on a VM. An older report that arrives
+// later by another path has no effect.
+func (g *Gossip) recordRelease(vm string, release uint64) {
 	g.options.Directory.Change(vm, func(m *peer.Member) { m.Release = max(m.Release, release) })
 }
 
-// list puts a VM into the directory. It keeps the release that is known.
-func (g *Gossip) list(member peer.Member) {
+// addToDirectory adds a VM to the directory, and keeps a release that is already known.
+func (g *Gossip) addToDirectory(member peer.Member) {
 	if known, ok := g.options.Directory.Member(member.Name); ok && known.Incarnation == member.Incarnation {
 		member.Release = known.Release
 	}
@@ -104,39 +105,40 @@
 	return member, true
 }
 
-// tickVMs judges the other VMs anew.
-func (g *Gossip) tickVMs() {
+// updateVMStates updates the failure detection of the other VMs.
+func (g *Gossip) updateVMStates() {
 	now := g.options.Now()
 	for _, vm := range g.vms.Tick(now) {
-		g.judged(vm)
+		g.vmStateChanged(vm)
 	}
 	for _, name := range g.vms.RemoveExpired(now) {
 		g.store.Forget(name)
-		delete(g.agreed, name)
-		g.put(prefixVM+name, nil, false)
+		delete(g.sameOrigins, name)
+		g.put(prefixDownReport+name, nil, false)
 	}
 }
 
-func (g *Gossip) judged(vm fleet.VMStatus) {
+func (g *Gossip) vmStateChanged(vm fleet.VMStatus) {
 	down := vm.State == fleet.Suspect || vm.State == fleet.Gone
-	if vm.DataCentre == g.self.DataCentre && g.watches(vm.Name) {
+	if vm.DataCentre == g.self.DataCentre && g.observes(vm.Name) {
 		value := []byte{}
 		if down {
 			value = []byte{1}
 		}
-		g.put(prefixVM+vm.Name, value, vm.State == fleet.Gone)
+		g.put(prefixDownReport+vm.Name, value, vm.State == fleet.Gone)
 	}
 	if vm.State == fleet.Gone {
 		g.options.Directory.Remove(vm.Name)
 	} else {
-		g.returned(vm)
+		g.updateDirectory(vm)
 	}
 	g.announceVM(vm)
 }
 
-// returned lists a VM again that was gone, and tells its entries anew: when it
-// was counted out its word was dropped.
-func (g *Gossip) returned(vm fleet.VMStatus) {
+// updateDirectory updates the state of a VM in the directory. A VM that was gone is
+// added again and its entries are announced again, because the subscribers
+// discarded them when it was gone.
+func (g *Gossip) updateDirectory(vm fleet.VMStatus) {
 	_, listed := g.options.Directory.Member(vm.Name)
 	if listed {
 		g.options.Directory.Change(vm.Name, func(m *peer.Member) { m.State = vm.State })
@@ -146,25 +148,25 @@
 		switch change.Key {
 		case keyMember:
 			if member, ok := decodeMember(change); ok {
-				g.list(member)
+				g.addToDirectory(member)
 			}
-		case keyAlive, keyRelease:
+		case keyRemoteHeartbeat, keyRelease:
 		default:
 			g.announceEntry(vm.Name, change.Key, change.Value)
 		}
 	}
 }
 
-// watches tells whether this VM is one of those that watch another on behalf of
-// other data centres.
-func (g *Gossip) watches(name string) bool {
+// observes reports whether this VM is one of the observers of another VM on
+// behalf of other data centres.
+func (g *Gossip) observes(name string) bool {
 	live := []string{g.self.Name}
 	for _, vm := range g.vms.Statuses() {
 		if vm.DataCentre == g.self.DataCentre && vm.State == fleet.Live && vm.Name != name {
 			live = append(live, vm.Name)
 		}
 	}
-	for _, observer := range fleet.Observers(name, live, watchers) {
+	for _, observer := range fleet.Observers(name, live, observersPerVM) {
 		if observer == g.self.Name {
 			return true
 		}
@@ -172,4 +174,4 @@
 	return false
 }
 
-func putUvarint(value uint64) []byte { return binary.AppendUvarint(nil, value) }
+func encodeUvarint(value uint64) []byte { return binary.AppendUvarint(nil, value) }
--- a/internal/peer/gossip/subscribe.go
+++ b/internal/peer/gossip/subscribe.go
@@ -8,7 +8,8 @@
 	"oleandershunt.example/oleandershunt/internal/core/fleet"
 )
 
-// subscribers are called in order, one at a time, and must not wait long.
+// subscribers holds the callbacks. They are called in order, one at a time, and
+// must not block for long.
 type subscribers struct {
 	entries []entrySubscriber
 	gauges  []func(Gauge)
@@ -20,56 +21,56 @@
 	call   func(Entry)
 }
 
-// Entry is what another VM wrote under a key; an empty value withdraws it.
+// Entry is an entry of another VM; an empty value means that it was withdrawn.
 type Entry struct {
 	VM string
-	// Key is without the prefix subscribed to.
+	// Key is the key without the subscribed prefix.
 	Key   string
 	Value []byte
 }
 
-// Gauge is a small number from a VM of this data centre.
+// Gauge is a small number published by a VM of this data centre.
 type Gauge struct {
 	VM    string
 	Key   uint32
 	Level uint32
-	// Age is how long ago it was measured, to within a round.
+	// Age is the time since the measurement, to within a round.
 	Age time.Duration
 }
 
-// OnEntry subscribes to the other VMs' entries under a prefix. Their news is
-// passed on at once when it is urgent for the one who wrote it. Subscribe before Run.
+// OnEntry subscribes to changes of the other VMs' entries under a prefix. It must
+// be called before Run. Changes written as urgent are pushed at once.
 func (g *Gossip) OnEntry(prefix string, call func(Entry)) {
 	g.subscribers.entries = append(g.subscribers.entries, entrySubscriber{prefix, call})
 }
 
-// OnGauge subscribes to gauges. Subscribe before Run.
+// OnGauge subscribes to gauges. It must be called before Run.
 func (g *Gossip) OnGauge(call func(Gauge)) {
 	g.subscribers.gauges = append(g.subscribers.gauges, call)
 }
 
-// OnVM subscribes to changes of the judgement on other VMs. Subscribe before Run.
+// OnVM subscribes to changes of other VMs' statuses. It must be called before Run.
 func (g *Gossip) OnVM(call func(fleet.VMStatus)) {
 	g.subscribers.vms = append(g.subscribers.vms, call)
 }
 
-// later queues a call of a subscriber. It must be called with the lock held.
-func (g *Gossip) later(call func()) { g.queue = append(g.queue, call) }
+// enqueueCallback queues a callback. It must be called with the lock held.
+func (g *Gossip) enqueueCallback(call func()) { g.callbacks = append(g.callbacks, call) }
 
-// drain calls the subscribers, in the order in which things happened: an
-// opinion overtaken by its withdrawal would stay for ever.
-func (g *Gossip) drain() {
-	g.notify.Lock()
-	defer g.notify.Unlock()
+// runCallbacks runs the queued callbacks in the order of the changes. Out of order, an
+// entry that arrives after its own withdrawal would stay forever.
+func (g *Gossip) runCallbacks() {
+	g.notifyMu.Lock()
+	defer g.notifyMu.Unlock()
 	for {
 		g.mu.Lock()
-		queue := g.queue
-		g.queue = nil
+		callbacks := g.callbacks
+		g.callbacks = nil
 		g.mu.Unlock()
-		if len(queue) == 0 {
+		if len(callbacks) == 0 {
 			return
 		}
-		for _, call := range queue {
+		for _, call := range callbacks {
 			call()
 		}
 	}
@@ -77,8 +78,8 @@
 
 func (g *Gossip) announceEntry(vm, key string, value []byte) {
 	for _, subscriber := range g.subscribers.entries {
-		if rest, ok := strings.CutPrefix(key, subscriber.prefix); ok {
-			g.later(func() { subscriber.call(Entry{VM: vm, Key: rest, Value: value}) })
+		if key, ok := strings.CutPrefix(key, subscriber.prefix); ok {
+			g.enqueueCallback(func() { subscriber.call(Entry{VM: vm, Key: key, Value: value}) })
 		}
 	}
 }
@@ -90,13 +91,13 @@
 	for _, gauge := range gauges {
 		age := time.Duration(gauge.HeartbeatsAgo) * g.options.Interval
 		for _, call := range g.subscribers.gauges {
-			g.later(func() { call(Gauge{VM: gauge.Witness, Key: gauge.Key, Level: gauge.Level, Age: age}) })
+			g.enqueueCallback(func() { call(Gauge{VM: gauge.Witness, Key: gauge.Key, Level: gauge.Level, Age: age}) })
 		}
 	}
 }
 
 func (g *Gossip) announceVM(vm fleet.VMStatus) {
 	for _, call := range g.subscribers.vms {
-		g.later(func() { call(vm) })
+		g.enqueueCallback(func() { call(vm) })
 	}
 }
