--- a/internal/peer/age.go
+++ b/internal/peer/age.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// longestAge bounds an age that another VM tells. One that overflowed would make what it
-// says look as if it were from the future, and be believed for ever.
-const longestAge = 24 * time.Hour
+// maxAge limits an age reported by another VM. If it overflowed, the report would
+// appear to come from the future and never become stale.
+const maxAge = 24 * time.Hour
 
-// Age is an age told in microseconds.
+// Age converts an age in microseconds, as reported by another VM, to a duration of
+// at most 24 hours.
 func Age(micros uint64) time.Duration {
-	return time.Duration(min(micros, uint64(longestAge/time.Microsecond))) * time.Microsecond
+	return time.Duration(min(micros, uint64(maxAge/time.Microsecond))) * time.Microsecond
 }
--- a/internal/peer/directory.go
+++ b/internal/peer/directory.go
@@ -1,6 +1,6 @@
-// Package peer is how the VMs of a deployment reach one another: who there is,
-// a server for their calls and clients to make them. The calls themselves are
-// connect-go services of the packages that need them.
+// Package peer connects the VMs of a deployment: a directory of the known VMs, a
+// server for calls from other VMs and clients to call them. The calls themselves
+// are connect-go services of the packages that need them.
 package peer
 
 import (
@@ -11,7 +11,7 @@
 	"oleandershunt.example/oleandershunt/internal/core/fleet"
 )
 
-// Member is a VM as others know it.
+// Member describes a VM to the other VMs.
 type Member struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"dataCentre"`
@@ -19,34 +19,36 @@
 	Deployment string `json:"deployment,omitempty"`
 	// Address is host:port of the VM's peer server.
 	Address string `json:"address"`
-	// Incarnation tells one process under a name from the next.
+	// Incarnation distinguishes successive processes with the same name.
 	Incarnation string `json:"incarnation"`
-	// Cores is the processor time that the VM has, in cores; 0 where it isn't said.
+	// Cores is the CPU capacity of the VM in cores; 0 if unknown.
 	Cores float64 `json:"cores,omitempty"`
-	// Reads lists the schema versions that the VM reads, as "Kind/version".
+	// Reads lists the schema versions that the VM can read, as "Kind/version".
 	Reads []string `json:"reads,omitempty"`
-	// Leaving says that the VM is in a planned stop.
+	// Leaving reports whether the VM is shutting down as planned.
 	Leaving bool `json:"leaving,omitempty"`
-	// Release is the newest release that the VM has said to be in force on it.
-	// Of a VM in another data centre it may be the lowest of that data centre.
+	// Release is the newest release that the VM has reported to be in force on
+	// it. For a VM in another data centre it may be the lowest release of that
+	// data centre.
 	Release uint64 `json:"release,omitempty"`
-	// State is this VM's judgement on it. Empty counts as live.
+	// State is the state that the local failure detection assigns to the VM.
+	// Empty means live.
 	State fleet.State `json:"state,omitempty"`
 }
 
-// Directory is the VMs that live or may live, this one included. It is safe for
-// concurrent use.
+// Directory holds the VMs that are not known to be gone, including this one. It
+// is safe for concurrent use.
 type Directory struct {
 	mu      sync.RWMutex
 	members map[string]Member
-	// placements counts changes of who there is and where.
+	// placements counts changes of the set of VMs and of their data centres.
 	placements uint64
 }
 
-// NewDirectory makes an empty directory.
+// NewDirectory returns an empty directory.
 func NewDirectory() *Directory { return &Directory{members: make(map[string]Member)} }
 
-// Put adds a VM or replaces what is known of it.
+// Put adds a VM or replaces its entry.
 func (d *Directory) Put(member Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,16 +59,16 @@
 	d.members[member.Name] = member
 }
 
-// Placements is a number that changes when a VM comes, goes or is in another
-// data centre, and at no other change of what is known of VMs. What follows
-// from names and data centres alone can be kept until it changes.
+// Placements returns a number that changes only when a VM is added, removed or
+// moved to another data centre. Results that are derived only from the names and
+// data centres of VMs can be cached until it changes.
 func (d *Directory) Placements() uint64 {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.placements
 }
 
-// Change changes what is known of a VM, if it is known.
+// Change applies a change to the entry of a VM, if there is one.
 func (d *Directory) Change(name string, change func(*Member)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,7 +82,7 @@
 	}
 }
 
-// Remove forgets a VM.
+// Remove removes a VM.
 func (d *Directory) Remove(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,7 +92,7 @@
 	delete(d.members, name)
 }
 
-// Member finds a VM by name.
+// Member returns a VM by name.
 func (d *Directory) Member(name string) (Member, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -98,7 +100,7 @@
 	return member, ok
 }
 
-// Members lists the VMs in order of name.
+// Members returns the VMs sorted by name.
 func (d *Directory) Members() []Member {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/peer/keys.go
+++ b/internal/peer/keys.go
@@ -13,46 +13,48 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrBadKeys marks keys that can't be used. The keys in use stay.
+// ErrBadKeys is returned for keys that can't be used. The current keys stay in use.
 var ErrBadKeys = eris.New("keys can't be used: give a certificate, its key and the authority's certificate as PEM")
 
-// KeySource says where keys come from. Each of the three is a file's path or
-// the PEM text itself.
+// KeySource configures where the keys are loaded from. Each field is the path of
+// a file or the PEM text itself.
 type KeySource struct {
 	Certificate string
 	Key         string
-	// Authority is the certificates by which VMs' certificates must be signed.
+	// Authority contains the CA certificates that must have signed the VMs'
+	// certificates.
 	Authority string
 }
 
-// Set tells whether keys are wanted.
+// Set reports whether keys are configured.
 func (s KeySource) Set() bool { return s != (KeySource{}) }
 
-// loaded is one set of keys with the text that it was made from.
-type loaded struct {
+// keySet is a set of keys with the PEM text that it was parsed from.
+type keySet struct {
 	text        [3][]byte
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// Keys are the certificate, key and authority of a VM. They can be reloaded
-// while connections are open; new connections use the newest. It is safe for
+// Keys holds the certificate, key and authority of a VM. They can be reloaded
+// while connections are open; new connections use the newest ones. It is safe for
 // concurrent use.
 type Keys struct {
 	mu       sync.RWMutex
-	current  *loaded
+	current  *keySet
 	onReload []func()
 }
 
-// NewKeys loads keys. An error wraps ErrBadKeys.
+// NewKeys loads keys. Errors wrap ErrBadKeys.
 func NewKeys(source KeySource) (*Keys, error) {
 	k := &Keys{}
 	_, err := k.Reload(source)
 	return k, err
 }
 
-// Reload loads the keys again, and tells whether they differ. When they can't
-// be used, those in use stay: a half-written file must not cut the VM off.
+// Reload loads the keys again and reports whether they changed. Errors wrap
+// ErrBadKeys; the current keys then stay in use, so that a partly written file
+// does not disconnect the VM.
 func (k *Keys) Reload(source KeySource) (bool, error) {
 	next, err := load(source)
 	if err != nil {
@@ -81,19 +83,19 @@
 	k.onReload = append(k.onReload, hook)
 }
 
-// Expiry is when the certificate in use ends.
-func (k *Keys) Expiry() time.Time { return k.now().certificate.Leaf.NotAfter }
+// Expiry returns the time at which the current certificate expires.
+func (k *Keys) Expiry() time.Time { return k.currentKeys().certificate.Leaf.NotAfter }
 
-func (k *Keys) now() *loaded {
+func (k *Keys) currentKeys() *keySet {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return k.current
 }
 
-func load(source KeySource) (*loaded, error) {
-	next := &loaded{authority: x509.NewCertPool()}
-	for i, from := range []string{source.Certificate, source.Key, source.Authority} {
-		text, err := pemText(from)
+func load(source KeySource) (*keySet, error) {
+	next := &keySet{authority: x509.NewCertPool()}
+	for i, value := range []string{source.Certificate, source.Key, source.Authority} {
+		text, err := readPEM(value)
 		if err != nil {
 			return nil, eris.Wrap(ErrBadKeys, err.Error())
 		}
@@ -109,21 +111,21 @@
 	return next, nil
 }
 
-func pemText(from string) ([]byte, error) {
-	if strings.Contains(from, "-----BEGIN ") {
-		return []byte(from), nil
+func readPEM(value string) ([]byte, error) {
+	if strings.Contains(value, "-----BEGIN ") {
+		return []byte(value), nil
 	}
-	return os.ReadFile(from)
+	return os.ReadFile(value)
 }
 
-// serverConfig asks every caller for a certificate of the deployment's
-// authority. Whose it is is checked with each call.
+// serverConfig requires every caller to have a certificate signed by the
+// deployment's authority. The name in it is verified for each call.
 func (k *Keys) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{"h2", "http/1.1"},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			current := k.now()
+			current := k.currentKeys()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
 				NextProtos:   []string{"h2", "http/1.1"},
@@ -135,16 +137,17 @@
 	}
 }
 
-// clientConfig expects the wanted VM at the other end; any VM of the deployment
-// if the name is empty. The usual check of host names can't express that, so
-// the chain and the name are verified here, with the newest authority.
+// clientConfig requires the server to be the wanted VM, or any VM of the
+// deployment if the name is empty. The standard host name verification can't
+// express that, so VerifyConnection verifies the chain and the name, with the
+// newest authority.
 func (k *Keys) clientConfig(want Identity) *tls.Config {
-	current := k.now()
+	current := k.currentKeys()
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		NextProtos:         []string{"h2"},
 		ServerName:         want.Host(),
-		InsecureSkipVerify: true, // VerifyConnection does it.
+		InsecureSkipVerify: true, // VerifyConnection verifies the certificate instead.
 		Certificates:       []tls.Certificate{current.certificate},
 		VerifyConnection: func(state tls.ConnectionState) error {
 			if err := verifyChain(state.PeerCertificates, current.authority); err != nil {
@@ -171,15 +174,15 @@
 	return nil
 }
 
-// verifyName checks that a certificate is a VM's: the wanted one's, or any of
-// the wanted deployment if no name is given.
+// verifyName verifies that a certificate was issued for the wanted VM, or for any
+// VM of the wanted deployment if want has no name.
 func verifyName(chain []*x509.Certificate, want Identity) error {
 	if len(chain) == 0 {
 		return eris.Wrap(ErrNotAuthentic, "no certificate")
 	}
 	for _, host := range chain[0].DNSNames {
-		is := parseHost(host)
-		if is.Deployment == want.Deployment && (want.Name == "" || is.Name == want.Name) {
+		got := parseHost(host)
+		if got.Deployment == want.Deployment && (want.Name == "" || got.Name == want.Name) {
 			return nil
 		}
 	}
--- a/internal/peer/keys_test.go
+++ b/internal/peer/keys_test.go
@@ -51,7 +51,7 @@
 	return key
 }
 
-// issue makes a certificate for a VM's host name.
+// issue issues a certificate for a VM's host name.
 func (a *authority) issue(host string, serial int64) peer.KeySource {
 	key := a.newKey()
 	template := &x509.Certificate{
@@ -70,13 +70,13 @@
 	}
 }
 
-// endpoint is a VM that answers calls with the name of the caller.
+// endpoint is a VM that answers calls with the name of the caller and the protocol.
 type endpoint struct {
 	*WithT
-	address string
-	keys    *peer.Keys
-	mu      sync.Mutex
-	refused []error
+	address  string
+	keys     *peer.Keys
+	mu       sync.Mutex
+	rejected []error
 }
 
 func serve(t *testing.T, self peer.Identity, source peer.KeySource) *endpoint {
@@ -84,7 +84,7 @@
 	server := peer.NewServer(self, e.keys, func(_, _ string, err error) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.refused = append(e.refused, err)
+		e.rejected = append(e.rejected, err)
 	})
 	server.Handle("/hello", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.Header.Get(peer.HeaderFrom)+" over "+r.Proto)
@@ -107,7 +107,7 @@
 	return keys
 }
 
-// call calls the VM that is known under a name at the endpoint's address.
+// call calls the endpoint's address, which the caller's directory has under name.
 func (e *endpoint) call(t *testing.T, self peer.Identity, source peer.KeySource, name string) (string, error) {
 	directory := peer.NewDirectory()
 	directory.Put(peer.Member{Name: name, Address: e.address})
@@ -143,11 +143,10 @@
 	}
 }
 
-// Symptom: a VM gets another's answers, or two deployments mix their states.
-// Sequence: an address is reused by a VM of another name or deployment; a
-// caller that still has the old entry calls it. Cause: the address alone was
-// trusted.
-func TestAVMOfAnotherNameOrDeploymentIsRefused(t *testing.T) {
+// An address is reused by a VM of another name or deployment, and a caller with a
+// stale directory entry calls it. If the address alone were trusted, the caller
+// would get another VM's answers, or two deployments would mix their states.
+func TestVMOfAnotherNameOrDeploymentIsRejected(t *testing.T) {
 	a, foreign := newAuthority(t), newAuthority(t)
 	other := peer.Identity{Name: "vm-2", Deployment: "krishijot"}
 	plain := serve(t, vm1, peer.KeySource{})
@@ -173,13 +172,12 @@
 			NewWithT(t).Expect(err).To(HaveOccurred(), answer)
 		})
 	}
-	plain.Expect(plain.refused).To(ConsistOf(MatchError(peer.ErrOtherDeployment), MatchError(peer.ErrWrongName)))
+	plain.Expect(plain.rejected).To(ConsistOf(MatchError(peer.ErrOtherDeployment), MatchError(peer.ErrWrongName)))
 }
 
-// Symptom: the VMs lose each other on the day their certificates end, although
-// new ones are in place. Sequence: files are replaced while the process runs; for
-// a moment they don't fit together. Cause: keys were read at the start only, or a
-// half-written pair was taken.
+// Certificates are renewed by replacing files while the process runs; for a moment
+// the certificate and the key don't match. Without a reload the VMs would lose
+// contact when the old certificates expire; a mismatched pair must not be used.
 func TestKeysAreReloadedWithoutRestart(t *testing.T) {
 	g := NewWithT(t)
 	a := newAuthority(t)
@@ -193,15 +191,15 @@
 	write(source.Key, before.Key)
 	write(source.Authority, a.text)
 	e := serve(t, vm1, source)
-	ends := e.keys.Expiry()
+	expiry := e.keys.Expiry()
 	write(source.Certificate, after.Certificate)
 	_, err := e.keys.Reload(source)
 	g.Expect(err).To(MatchError(peer.ErrBadKeys))
-	g.Expect(e.keys.Expiry()).To(Equal(ends), "the pair in use stays")
+	g.Expect(e.keys.Expiry()).To(Equal(expiry), "the current pair must stay in use")
 	g.Expect(e.call(t, vm2, a.issue(vm2.Host(), 1), "vm-1")).To(HavePrefix("vm-2"))
 	write(source.Key, after.Key)
 	g.Expect(e.keys.Reload(source)).To(BeTrue())
-	g.Expect(e.keys.Expiry()).To(BeTemporally(">", ends))
+	g.Expect(e.keys.Expiry()).To(BeTemporally(">", expiry))
 	g.Expect(e.call(t, vm2, a.issue(vm2.Host(), 1), "vm-1")).To(HavePrefix("vm-2"))
-	g.Expect(e.keys.Reload(source)).To(BeFalse(), "nothing changed")
+	g.Expect(e.keys.Reload(source)).To(BeFalse(), "the keys have not changed")
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -13,36 +13,38 @@
 	"oleandershunt.example/oleandershunt/internal/wire"
 )
 
-// Time limits between VMs.
+// Timeouts of connections between VMs.
 const (
 	connectTimeout    = time.Second
 	readHeaderTimeout = 5 * time.Second
-	// idleTimeout keeps connections to VMs that are called now and then: with
-	// TLS, opening one costs more bytes than many exchanges.
+	// idleTimeout is long enough to keep connections to VMs that are called only
+	// now and then: opening a TLS connection costs more bytes than many exchanges.
 	idleTimeout = 5 * time.Minute
 )
 
-// ErrUnknownVM marks a call to a VM that the directory does not know.
+// ErrUnknownVM is returned for a call to a VM that is not in the directory.
 var ErrUnknownVM = eris.New("VM is not known: wait for membership to spread")
 
-// Server takes calls from other VMs. Handlers are mounted before it serves.
+// Server serves calls from other VMs. Handlers must be added before it serves.
 type Server struct {
-	mux     *http.ServeMux
-	self    Identity
-	keys    *Keys
-	refused func(from, address string, err error)
+	mux      *http.ServeMux
+	self     Identity
+	keys     *Keys
+	onReject func(from, address string, err error)
 }
 
-// NewServer makes a server without handlers. keys may be nil, which leaves the
-// calls unencrypted. refused is told of every call that is turned away.
-func NewServer(self Identity, keys *Keys, refused func(from, address string, err error)) *Server {
-	return &Server{mux: http.NewServeMux(), self: self, keys: keys, refused: refused}
+// NewServer returns a server without handlers. If keys is nil, the calls are
+// unencrypted. onReject is called for every rejected call, with the name that the
+// caller claims, its address and the reason.
+func NewServer(self Identity, keys *Keys, onReject func(from, address string, err error)) *Server {
+	return &Server{mux: http.NewServeMux(), self: self, keys: keys, onReject: onReject}
 }
 
-// Handle mounts a connect-go handler as its constructor returns it.
+// Handle adds a connect-go handler, with the arguments as its constructor returns
+// them.
 func (s *Server) Handle(path string, handler http.Handler) { s.mux.Handle(path, handler) }
 
-// HTTPServer serves the mounted handlers over HTTP/1.1 and HTTP/2.
+// HTTPServer returns an HTTP server for the handlers over HTTP/1.1 and HTTP/2.
 func (s *Server) HTTPServer() *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -51,7 +53,7 @@
 	return &http.Server{Handler: s.verify(s.mux), Protocols: protocols, ReadHeaderTimeout: readHeaderTimeout}
 }
 
-// Listener wraps a listener in TLS where there are keys.
+// Listener wraps a listener in TLS if the server has keys.
 func (s *Server) Listener(listener net.Listener) net.Listener {
 	if s.keys == nil {
 		return listener
@@ -59,7 +61,8 @@
 	return tls.NewListener(listener, s.keys.serverConfig())
 }
 
-// Dialer finds the way to other VMs. It is safe for concurrent use.
+// Dialer provides HTTP clients for calls to other VMs. It is safe for concurrent
+// use.
 type Dialer struct {
 	directory *Directory
 	self      Identity
@@ -70,7 +73,8 @@
 	clients map[string]*http.Client
 }
 
-// NewDialer makes a dialer for the VMs of a directory. keys may be nil.
+// NewDialer returns a dialer for the VMs of a directory. If keys is nil, the calls
+// are unencrypted.
 func NewDialer(directory *Directory, self Identity, keys *Keys) *Dialer {
 	d := &Dialer{directory: directory, self: self, scheme: "http", clients: make(map[string]*http.Client)}
 	protocols := new(http.Protocols)
@@ -91,7 +95,9 @@
 	return d
 }
 
-// Endpoint gives what a connect-go client constructor takes for the named VM.
+// Endpoint returns the HTTP client and base URL to pass to a connect-go client
+// constructor for the named VM. It returns ErrUnknownVM if the VM is not in the
+// directory.
 func (d *Dialer) Endpoint(vm string) (*http.Client, string, error) {
 	if _, ok := d.directory.Member(vm); !ok {
 		return nil, "", eris.Wrap(ErrUnknownVM, vm)
@@ -100,13 +106,13 @@
 	return d.client(vm), d.scheme + "://" + host, nil
 }
 
-// Seed is Endpoint for an address, host:port, whose VM is not known by
-// name. Only the deployment is checked.
+// Seed is like Endpoint for an address, host:port, of a VM whose name is unknown.
+// Only the deployment of the VM is verified.
 func (d *Dialer) Seed(address string) (*http.Client, string) {
 	return d.client(""), d.scheme + "://" + address
 }
 
-// Close ends the connections that are not in use.
+// Close closes the idle connections.
 func (d *Dialer) Close() { d.transport.CloseIdleConnections() }
 
 func (d *Dialer) client(vm string) *http.Client {
@@ -114,13 +120,14 @@
 	defer d.mu.Unlock()
 	client, ok := d.clients[vm]
 	if !ok {
-		client = &http.Client{Transport: sender{self: d.self, to: vm, next: d.transport}}
+		client = &http.Client{Transport: headerTransport{self: d.self, to: vm, next: d.transport}}
 		d.clients[vm] = client
 	}
 	return client
 }
 
-// dial turns the VM's name in a URL into its address. An IP address stays.
+// dial resolves the VM's name in a URL to its address, and connects. An IP
+// address is used as it is.
 func (d *Dialer) dial(ctx context.Context, network, host string) (net.Conn, error) {
 	address := host
 	if name, _, err := net.SplitHostPort(host); err == nil && net.ParseIP(name) == nil {
