--- a/internal/mirror/rig_test.go
+++ b/internal/mirror/cluster_test.go
@@ -21,18 +21,18 @@
 
 const kind = "servers"
 
-// store is the platform's objects of one kind, in memory.
+// store holds the platform's objects of one kind in memory.
 type store struct {
 	mu      sync.Mutex
 	version history.Version
 	names   map[string]history.Version
 	changes []platform.WatchEvent
-	news    chan struct{}
+	changed chan struct{}
 	down    bool
 }
 
 func newStore(names ...string) *store {
-	s := &store{names: make(map[string]history.Version), news: make(chan struct{})}
+	s := &store{names: make(map[string]history.Version), changed: make(chan struct{})}
 	for _, name := range names {
 		s.set(name, false)
 	}
@@ -50,46 +50,46 @@
 	}
 	object := platform.Object{Kind: kind, Name: name, Version: s.version, Value: []byte(`{}`)}
 	s.changes = append(s.changes, platform.WatchEvent{Object: object, Deleted: gone})
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *store) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// way is one VM's way to the store.
-type way struct {
+// storeClient is the connection of one VM to the store.
+type storeClient struct {
 	*store
 	// lists and watches count its calls.
 	lists, watches atomic.Int64
 }
 
-var errNotUsed = errors.New("this call isn't made here")
+var errNotUsed = errors.New("the test does not use this call")
 
-func (w *way) Get(context.Context, string, string) (platform.Object, error) {
+func (c *storeClient) Get(context.Context, string, string) (platform.Object, error) {
 	return platform.Object{}, errNotUsed
 }
 
-func (w *way) Put(context.Context, platform.Write, []byte) (platform.Object, error) {
+func (c *storeClient) Put(context.Context, platform.Write, []byte) (platform.Object, error) {
 	return platform.Object{}, errNotUsed
 }
 
-func (w *way) Delete(context.Context, platform.Write) error { return errNotUsed }
+func (c *storeClient) Delete(context.Context, platform.Write) error { return errNotUsed }
 
-func (w *way) List(_ context.Context, _, _ string, each func(*platform.Object)) (platform.List, error) {
-	w.lists.Add(1)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.down {
+func (c *storeClient) List(_ context.Context, _, _ string, each func(*platform.Object)) (platform.List, error) {
+	c.lists.Add(1)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.down {
 		return platform.List{}, platform.ErrUnavailable
 	}
-	list := platform.List{Version: w.version}
-	for name, version := range w.names {
+	list := platform.List{Version: c.version}
+	for name, version := range c.names {
 		object := platform.Object{Kind: kind, Name: name, Version: version, Value: []byte(`{}`)}
 		each(&object)
 		list.Items = append(list.Items, object)
@@ -97,20 +97,20 @@
 	return list, nil
 }
 
-func (w *way) Watch(ctx context.Context, watch platform.Watch, handle func(platform.WatchEvent) error) error {
+func (c *storeClient) Watch(ctx context.Context, watch platform.Watch, handle func(platform.WatchEvent) error) error {
 	version := watch.Version
 	for {
-		w.watches.Add(1)
-		w.mu.Lock()
-		fresh, now, news, down := slices.Clone(w.changes), w.version, w.news, w.down
-		w.mu.Unlock()
+		c.watches.Add(1)
+		c.mu.Lock()
+		fresh, now, changed, down := slices.Clone(c.changes), c.version, c.changed, c.down
+		c.mu.Unlock()
 		if down {
 			return platform.ErrUnavailable
 		}
 		fresh = slices.DeleteFunc(fresh, func(e platform.WatchEvent) bool { return e.Object.Version <= version })
 		if len(fresh) == 0 {
 			select {
-			case <-news:
+			case <-changed:
 				continue
 			case <-time.After(watch.Bookmark):
 			case <-ctx.Done():
@@ -127,7 +127,7 @@
 	}
 }
 
-// names is a VM's list of the objects, as its log's sink keeps it.
+// names is the sink of a VM's log; it records the objects and outages that it is passed.
 type names struct {
 	mu      sync.Mutex
 	known   map[string]bool
@@ -173,28 +173,27 @@
 	return n.outages
 }
 
-// vm is a VM of the rig.
+// vm is a VM of the cluster.
 type vm struct {
 	lease.VM
-	way     *way
+	store   *storeClient
 	known   *names
 	log     *mirror.Log
 	service *mirror.Service
-	// dark says that it takes questions and answers none.
-	dark     atomic.Bool
-	follower *mirror.Follower
+	// unresponsive makes the VM accept requests and answer none.
+	unresponsive atomic.Bool
+	follower     *mirror.Follower
 }
 
-// rig is VMs that know one another, before one store.
-type rig struct {
+// cluster is a set of VMs that know one another and share one store.
+type cluster struct {
 	store *store
 	vms   []*vm
 }
 
-// newRig starts VMs, each data centre with one large VM and the others small. bookmark is
-// how often a watch of the store answers though nothing changed.
-func newRig(t *testing.T, s *store, dataCentres, each int) *rig {
-	r := &rig{store: s}
+// newCluster starts VMs, each data centre with one large VM and the others small.
+func newCluster(t *testing.T, s *store, dataCentres, each int) *cluster {
+	c := &cluster{store: s}
 	begun := time.Now()
 	now := func() time.Duration { return time.Since(begun) + time.Second }
 	for d := range dataCentres {
@@ -203,8 +202,8 @@
 			if i == 0 {
 				cores = 0.8
 			}
-			r.vms = append(r.vms, &vm{
-				VM: lease.VM{Name: fmt.Sprintf("vm-%d-%d", d, i), DataCentre: fmt.Sprint("dc-", d), Cores: cores}, way: &way{store: s},
+			c.vms = append(c.vms, &vm{
+				VM: lease.VM{Name: fmt.Sprintf("vm-%d-%d", d, i), DataCentre: fmt.Sprint("dc-", d), Cores: cores}, store: &storeClient{store: s},
 				known: &names{known: make(map[string]bool)},
 			})
 		}
@@ -215,25 +214,25 @@
 		stop()
 		running.Wait()
 	})
-	for _, v := range r.vms {
+	for _, v := range c.vms {
 		v.log = mirror.NewLog(v.known, now)
 		v.service = &mirror.Service{Log: v.log}
 		v.follower = mirror.NewFollower(v.log, mirror.Options{
 			Kind: kind, Self: v.Name, Settled: func() bool { return true },
-			All: func() []lease.VM { return r.ranked("") }, Near: func() []lease.VM { return r.ranked(v.DataCentre) },
-			Ask: r.ask, Now: now,
+			All: func() []lease.VM { return c.ranked("") }, Near: func() []lease.VM { return c.ranked(v.DataCentre) },
+			Ask: c.ask, Now: now,
 		})
 	}
-	for _, v := range r.vms {
-		client := platform.NewClientOn(v.way, platform.WithBookmark(200*time.Millisecond), platform.WithLongestBackoff(100*time.Millisecond), platform.WithBudget(1000, 1000))
+	for _, v := range c.vms {
+		client := platform.NewClientOn(v.store, platform.WithBookmark(200*time.Millisecond), platform.WithLongestBackoff(100*time.Millisecond), platform.WithBudget(1000, 1000))
 		running.Go(func() { _ = client.FollowMirror(ctx, kind, "", v.log, v.follower) })
 	}
-	return r
+	return c
 }
 
-func (r *rig) ranked(dataCentre string) []lease.VM {
+func (c *cluster) ranked(dataCentre string) []lease.VM {
 	var all []lease.VM
-	for _, v := range r.vms {
+	for _, v := range c.vms {
 		if dataCentre == "" || v.DataCentre == dataCentre {
 			all = append(all, v.VM)
 		}
@@ -241,8 +240,8 @@
 	return lease.Rank("entries", "", all)
 }
 
-func (r *rig) find(name string) *vm {
-	for _, v := range r.vms {
+func (c *cluster) find(name string) *vm {
+	for _, v := range c.vms {
 		if v.Name == name {
 			return v
 		}
@@ -250,23 +249,23 @@
 	return nil
 }
 
-func (r *rig) ask(ctx context.Context, name string, request *entriesv1.ChangesRequest) (*entriesv1.ChangesResponse, error) {
-	v := r.find(name)
-	if v.dark.Load() {
+func (c *cluster) ask(ctx context.Context, name string, request *entriesv1.ChangesRequest) (*entriesv1.ChangesResponse, error) {
+	v := c.find(name)
+	if v.unresponsive.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	answer, err := v.service.Changes(ctx, connect.NewRequest(request))
-	if err != nil || v.dark.Load() {
+	if err != nil || v.unresponsive.Load() {
 		return nil, errNotUsed
 	}
 	return answer.Msg, nil
 }
 
-// readers lists the VMs that read the store for all.
-func (r *rig) readers() []*vm {
+// readers lists the VMs that read the store for the others.
+func (c *cluster) readers() []*vm {
 	var readers []*vm
-	for _, v := range r.vms {
+	for _, v := range c.vms {
 		if v.follower.Reads() {
 			readers = append(readers, v)
 		}
--- a/internal/mirror/follower.go
+++ b/internal/mirror/follower.go
@@ -15,148 +15,157 @@
 	"oleandershunt.example/oleandershunt/internal/platform"
 )
 
-// The figures of learning from other VMs.
+// Limits and timeouts for fetching changes from other VMs.
 const (
-	// Readers is how many VMs of the deployment read the platform while it answers them,
-	// in two data centres where there are as many, and how many of each data centre learn
-	// from those and tell the others there. So the loss of one VM, or of its way, costs
-	// the others no more than the next question.
-	Readers = 2
-	// deputies is how many VMs more of a data centre are asked when the first ones have
-	// nothing to tell. They read the platform then themselves.
-	deputies = 2
-	// Wait is how long a question waits at another VM for a change. One that dies without
-	// a word is found out after it and callTimeout; another one is asked, or the platform
-	// read, then. So a departure that the dead VM alone had seen is known 0.9 s later.
-	Wait = 500 * time.Millisecond
-	// callTimeout bounds the question beyond its wait; the answer takes a millisecond or
-	// two, and up to 100 ms with hundreds of entries over a small VM's link.
+	// ReaderCount is how many VMs of the deployment read the platform for the others, in
+	// two data centres if there are two, and how many VMs of each data centre
+	// fetch from those readers and serve the rest of their data centre. With two, the
+	// loss of one VM or of its network path costs the others no more than the next
+	// request.
+	ReaderCount = 2
+	// backupReaders is how many further VMs of a data centre are tried when the first
+	// ones have no valid answer. Backup readers read the platform themselves in that
+	// case.
+	backupReaders = 2
+	// LongPollWait is how long another VM may hold a request open until something
+	// changes. A VM that dies silently is noticed after LongPollWait plus callTimeout;
+	// then another VM is asked, or the platform is read. A departure that only the dead
+	// VM had seen is therefore known 0.9 s later.
+	LongPollWait = 500 * time.Millisecond
+	// callTimeout is added to the wait to bound a request. An answer takes a millisecond
+	// or two, and up to 100 ms with hundreds of entries over the link of a small VM.
 	callTimeout = 400 * time.Millisecond
-	// startWait and startTimeout are the same for a VM that knows nothing and has callers
-	// already: the platform answers within some milliseconds. With the longer ones 13
-	// callers more were refused after a loss of power of nine VMs.
+	// startWait and startTimeout bound the first request of a restarted VM, which has no
+	// objects yet but already has callers: the platform answers within some
+	// milliseconds. With the longer limits, 13 more callers were refused after a power
+	// loss of nine VMs.
 	startWait    = 50 * time.Millisecond
 	startTimeout = 100 * time.Millisecond
-	// believed is how old the proof may be of what another VM knows: a reader's watch
-	// answers every 2 s, and is silent 0.7 s later when its way to the platform is cut.
-	believed = 3 * time.Second
-	// doubted is how long a VM isn't asked that had nothing to tell.
-	doubted = 500 * time.Millisecond
-	// lookAgain is the time between two looks for a VM to ask.
-	lookAgain = 100 * time.Millisecond
-	// ownSpacing, times the place of the VM in its data centre, is the least time between
-	// two calls of a VM's own when nobody has anything to tell. All VMs of a data centre
-	// of 40 then make some 40 calls a second together, in place of 100, while the
-	// platform is away.
-	ownSpacing = 100 * time.Millisecond
+	// maxProofAge is the age up to which a proof is valid: the watch of a reader gets an
+	// answer every 2 s, and is considered silent 0.7 s later when the path to the
+	// platform is cut.
+	maxProofAge = 3 * time.Second
+	// sourceBackoff is how long a VM that gave no valid answer is skipped.
+	sourceBackoff = 500 * time.Millisecond
+	// retryInterval is the time between two passes over the sources.
+	retryInterval = 100 * time.Millisecond
+	// fallbackSpacing, times the position of the VM in its data centre, is the minimum
+	// time between two direct reads of the platform when no source has a valid answer.
+	// While the platform is unavailable, the VMs of a data centre of 40 make some 40
+	// calls a second together instead of 100.
+	fallbackSpacing = 100 * time.Millisecond
 )
 
-// Ask asks a VM, by its name or address, for changes.
-type Ask func(ctx context.Context, vm string, request *entriesv1.ChangesRequest) (*entriesv1.ChangesResponse, error)
+// Fetch requests changes from a VM, given by its name or address.
+type Fetch func(ctx context.Context, vm string, request *entriesv1.ChangesRequest) (*entriesv1.ChangesResponse, error)
 
-// Options are what a follower needs.
+// Options configures a Follower.
 type Options struct {
 	// Kind is the kind of the objects.
 	Kind string
-	// Self is this VM.
+	// Self is the name of this VM.
 	Self string
-	// Settled tells whether the VMs had time to get to know one another since the start.
+	// Settled reports whether the VMs have had time to discover one another
+	// since the start.
 	Settled func() bool
-	// Contacts are the addresses that are asked before that, and IsContact says that
-	// this VM is one of them: it reads the platform then.
+	// Contacts are the addresses to fetch from before that, and IsContact reports that this VM
+	// is one of them: it reads the platform until then.
 	Contacts  []string
 	IsContact bool
-	// All lists the VMs that live, this one included, and Near those of them in its data
-	// centre, both in the order in which they read. VMs that know the same ones have the
-	// same order.
+	// All lists the live VMs including this one, and Near those in its data
+	// centre, both in the order in which they become readers. VMs with the same
+	// membership view have the same order.
 	All, Near func() []lease.VM
-	// FirstStart says that all VMs start for the first time and have no callers yet.
+	// FirstStart is true when all VMs start for the first time and have no callers yet.
 	FirstStart bool
-	// Ask asks another VM.
-	Ask Ask
-	// Now is the time since the start of the VM, suspension included.
+	// Ask requests changes from another VM.
+	Ask Fetch
+	// Now returns the time since the start of the VM, including time suspended.
 	Now func() time.Duration
 }
 
-// Follower learns what a log lacks from the VMs that read the platform.
+// Follower fetches the changes that a Log lacks from the VMs that read the platform.
 type Follower struct {
 	Options
 	log *Log
 
 	mu sync.Mutex
-	// doubts is until when VMs aren't asked.
-	doubts map[string]time.Duration
-	// own is when this VM last went to read the platform though it isn't a reader.
-	own time.Duration
+	// backoffUntil is the time until which a VM is skipped, by name or address.
+	backoffUntil map[string]time.Duration
+	// lastFallback is when this VM last read the platform directly without being a
+	// reader.
+	lastFallback time.Duration
 }
 
 var _ platform.Mirror = (*Follower)(nil)
 
-// NewFollower makes a follower that fills a log.
+// NewFollower returns a Follower that fills a log.
 func NewFollower(log *Log, options Options) *Follower {
-	return &Follower{Options: options, log: log, doubts: make(map[string]time.Duration)}
+	return &Follower{Options: options, log: log, backoffUntil: make(map[string]time.Duration)}
 }
 
 // Answered implements platform.Mirror.
-func (f *Follower) Answered() { f.log.answered() }
+func (f *Follower) Answered() { f.log.recordPlatformAnswer() }
 
 // Reads implements platform.Mirror.
-func (f *Follower) Reads() bool { return f.part().reads }
+func (f *Follower) Reads() bool { return f.assignment().reads }
 
-// Tells tells whether what this VM knows is news to others: it reads the platform itself.
-func (f *Follower) Tells() bool { return f.Reads() || f.log.reading() }
+// Tells reports whether this VM reads the platform itself, so that other VMs
+// can fetch from it.
+func (f *Follower) Tells() bool { return f.Reads() || f.log.readsPlatform() }
 
-// part is what a VM does for the others at the moment.
-type part struct {
-	// reads says that it reads the platform for all.
+// assignment says whether this VM reads the platform, and which VMs it fetches from
+// otherwise.
+type assignment struct {
+	// reads is true if this VM reads the platform for the others.
 	reads bool
-	// sources are the VMs that it learns from, the first ones first.
+	// sources are the VMs to fetch from, in order of preference.
 	sources []string
-	// spacing is the least time between two readings of its own when those have nothing
-	// to tell.
+	// spacing is the minimum time between two direct reads of the platform when no
+	// source has a valid answer.
 	spacing time.Duration
 }
 
-// part finds this VM's part.
-func (f *Follower) part() part {
+// assignment returns the current assignment of this VM.
+func (f *Follower) assignment() assignment {
 	if !f.Settled() {
-		return part{reads: f.IsContact, sources: f.turned(f.Contacts)}
+		return assignment{reads: f.IsContact, sources: f.rotated(f.Contacts)}
 	}
-	readers := readersOf(f.All())
+	readers := chooseReaders(f.All())
 	if slices.Contains(readers, f.Self) {
-		return part{reads: true}
+		return assignment{reads: true}
 	}
 	near := f.Near()
-	place := lease.Position(near, f.Self) // the last one for a VM that stops
-	if place < Readers {
-		return part{sources: f.turned(readers)}
+	position := lease.Position(near, f.Self) // the last position for a VM that is stopping
+	if position < ReaderCount {
+		return assignment{sources: f.rotated(readers)}
 	}
-	most := Readers + deputies
-	if place < most {
-		// Deputies read by themselves rather than ask one another.
-		return part{sources: f.turned(namesOf(near[:Readers]))}
+	limit := ReaderCount + backupReaders
+	if position < limit {
+		// Backup readers read the platform rather than fetch from one another.
+		return assignment{sources: f.rotated(vmNames(near[:ReaderCount]))}
 	}
-	sources := f.turned(namesOf(near[:min(Readers, len(near))]))
-	sources = append(sources, namesOf(near[len(sources):min(most, len(near))])...)
-	return part{sources: sources, spacing: time.Duration(place) * ownSpacing}
+	sources := f.rotated(vmNames(near[:min(ReaderCount, len(near))]))
+	sources = append(sources, vmNames(near[len(sources):min(limit, len(near))])...)
+	return assignment{sources: sources, spacing: time.Duration(position) * fallbackSpacing}
 }
 
-// readersOf picks the VMs that read the platform for all: the first one, and the first
-// one of another data centre.
-func readersOf(all []lease.VM) []string {
+// chooseReaders returns the VMs that read the platform for all: the first one, and the
+// first one of another data centre.
+func chooseReaders(all []lease.VM) []string {
 	var readers []string
 	for _, vm := range all {
 		if len(readers) == 0 || vm.DataCentre != all[0].DataCentre {
 			readers = append(readers, vm.Name)
 		}
-		if len(readers) == Readers {
+		if len(readers) == ReaderCount {
 			return readers
 		}
 	}
-	return namesOf(all[:min(Readers, len(all))])
+	return vmNames(all[:min(ReaderCount, len(all))])
 }
 
-func namesOf(vms []lease.VM) []string {
+func vmNames(vms []lease.VM) []string {
 	names := make([]string, len(vms))
 	for i, vm := range vms {
 		names[i] = vm.Name
@@ -164,8 +173,9 @@
 	return names
 }
 
-// turned begins a list anywhere, so that the VMs ask different ones first.
-func (f *Follower) turned(names []string) []string {
+// rotated returns the names starting at an offset derived from this VM's name, so that
+// the VMs spread their requests.
+func (f *Follower) rotated(names []string) []string {
 	if len(names) == 0 {
 		return nil
 	}
@@ -176,77 +186,78 @@
 // Next implements platform.Mirror.
 func (f *Follower) Next(ctx context.Context, version history.Version) (platform.Page, bool) {
 	for ctx.Err() == nil {
-		now := f.part()
-		if now.reads {
+		current := f.assignment()
+		if current.reads {
 			return platform.Page{}, false
 		}
-		for _, vm := range now.sources {
-			if f.inDoubt(vm) {
+		for _, vm := range current.sources {
+			if f.backedOff(vm) {
 				continue
 			}
-			if page, ok := f.learn(ctx, vm, version); ok {
+			if page, ok := f.fetchFrom(ctx, vm, version); ok {
 				return page, true
 			}
-			if now.spacing == 0 {
-				break // the platform answers sooner than a second VM that may be lost, too
+			if current.spacing == 0 {
+				break // the platform answers sooner than a second VM, which may be lost as well
 			}
 		}
-		if f.ownTurn(now.spacing) {
+		if f.mayReadDirectly(current.spacing) {
 			return platform.Page{}, false
 		}
-		pause(ctx, lookAgain)
+		sleep(ctx, retryInterval)
 	}
 	return platform.Page{}, false
 }
 
-func (f *Follower) inDoubt(vm string) bool {
+func (f *Follower) backedOff(vm string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return vm == f.Self || f.Now() < f.doubts[vm]
+	return vm == f.Self || f.Now() < f.backoffUntil[vm]
 }
 
-// learn asks a VM. It returns false when that has nothing to be believed.
-func (f *Follower) learn(ctx context.Context, vm string, version history.Version) (platform.Page, bool) {
-	sent, wait, limit := f.Now(), Wait, Wait+callTimeout
+// fetchFrom requests changes from a VM. It returns false without a valid answer.
+func (f *Follower) fetchFrom(ctx context.Context, vm string, version history.Version) (platform.Page, bool) {
+	sent, wait, timeout := f.Now(), LongPollWait, LongPollWait+callTimeout
 	if version == 0 && !f.FirstStart {
-		wait, limit = startWait, startTimeout
+		wait, timeout = startWait, startTimeout
 	}
-	asked, cancel := context.WithTimeout(ctx, limit)
+	fetchCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	response, err := f.Ask(asked, vm, &entriesv1.ChangesRequest{Known: uint64(version), WaitMillis: uint32(wait.Milliseconds())})
+	response, err := f.Ask(fetchCtx, vm, &entriesv1.ChangesRequest{Known: uint64(version), WaitMillis: uint32(wait.Milliseconds())})
 	var page platform.Page
 	var proof Proof
 	ok := false
 	if err == nil {
 		page, proof, ok = decode(f.Kind, response, sent)
 	}
-	if !ok || page.Version.History() < version.History() || f.Now()-proof.At > believed {
+	if !ok || page.Version.History() < version.History() || f.Now()-proof.VerifiedAt > maxProofAge {
 		metrics.GetOrCreateCounter(`oleandershunt_mirror_answers_total{result="nothing"}`).Inc()
 		f.mu.Lock()
-		f.doubts[vm] = f.Now() + doubted
+		f.backoffUntil[vm] = f.Now() + sourceBackoff
 		f.mu.Unlock()
 		return platform.Page{}, false
 	}
 	metrics.GetOrCreateCounter(`oleandershunt_mirror_answers_total{result="learnt"}`).Inc()
-	if f.log.learnt(proof) {
+	if f.log.mergeProof(proof) {
 		f.log.sink.Broken(platform.ErrUnavailable)
 	}
 	return page, true
 }
 
-// ownTurn tells whether this VM may read the platform now though it isn't a reader.
-func (f *Follower) ownTurn(spacing time.Duration) bool {
+// mayReadDirectly reports whether this VM may read the platform now without being a
+// reader.
+func (f *Follower) mayReadDirectly(spacing time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Now()
-	if f.own > 0 && now-f.own < spacing {
+	if f.lastFallback > 0 && now-f.lastFallback < spacing {
 		return false
 	}
-	f.own = now
+	f.lastFallback = now
 	return true
 }
 
-func pause(ctx context.Context, span time.Duration) {
+func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-time.After(span):
 	case <-ctx.Done():
--- a/internal/mirror/log.go
+++ b/internal/mirror/log.go
@@ -1,7 +1,8 @@
-// Package mirror lets a VM learn the objects of a kind from other VMs of its data
-// centre, a few of which read the platform. What a VM knows has the age of its proof:
-// since when the platform showed to somebody that it was the newest. The age grows on
-// its way from VM to VM, so that VMs which only hear of one another soon believe none.
+// Package mirror replicates the objects of a kind between the VMs of a data centre, a
+// few of which read the platform. Each copy carries the age of its proof: the time since
+// the platform last confirmed to some VM that the copy was the newest. The age grows
+// with every hop from VM to VM, so that VMs that only fetch from one another soon treat
+// their copies as stale.
 package mirror
 
 import (
@@ -16,47 +17,50 @@
 	"oleandershunt.example/oleandershunt/internal/platform"
 )
 
-// changesKept bounds the changes that are remembered. Servers of a fleet change a few
-// hundred times a minute when much goes on, and VMs ask several times a second; one that
-// asks for older changes gets all objects.
-const changesKept = 512
+// maxChanges bounds the retained changes. The servers of a fleet change a few hundred
+// times a minute under heavy churn, and VMs ask several times a second; a VM that asks
+// for older changes gets all objects.
+const maxChanges = 512
 
-// Log keeps what is known of the objects of a kind, to be told to other VMs, and passes
-// it on to a sink. It is a platform.Sink, safe for concurrent use by those who ask.
+// Log holds the known objects of a kind and their recent changes to serve them to other
+// VMs, and passes them on to a sink. It is a platform.Sink; other VMs' requests may read
+// it concurrently.
 type Log struct {
 	sink platform.Sink
 	now  func() time.Duration
 
 	mu      sync.Mutex
 	objects map[string]platform.Object
-	// changes are the newest ones, in order of version; all after floor.
+	// changes are the most recent changes in version order, all after floor.
 	changes []platform.WatchEvent
 	floor   history.Version
-	// version is up to which everything is known; 0 before the first list.
+	// version is the version up to which all changes are known; 0 before the first list.
 	version history.Version
 	proof   Proof
-	// own is when the platform itself last answered this VM.
-	own time.Duration
-	// lost says that the platform doesn't answer this VM, nor any other that it asked.
-	lost bool
-	// news is closed at the next change of anything.
-	news chan struct{}
+	// lastPlatformAnswer is when the platform itself last answered this VM.
+	lastPlatformAnswer time.Duration
+	// unavailable is true when neither the platform nor any other VM asked has a valid
+	// answer for this VM.
+	unavailable bool
+	// changed is closed and replaced at the next change of the log.
+	changed chan struct{}
 }
 
-// Proof is how far what is known may be believed.
+// Proof shows how current a copy is.
 type Proof struct {
-	// At is when the platform showed that it is the newest. 0 is never.
-	At time.Duration
-	// Back is when the platform answered again after an outage. 0 is never.
-	Back time.Duration
+	// VerifiedAt is when the platform last confirmed that the copy is the newest; 0 for
+	// never.
+	VerifiedAt time.Duration
+	// RecoveredAt is when the platform answered again after an outage; 0 for never.
+	RecoveredAt time.Duration
 }
 
 var _ platform.Sink = (*Log)(nil)
 
-// NewLog makes a log that knows nothing. now is the time since the start of the VM,
-// suspension included.
+// NewLog returns an empty log. now returns the time since the start of the VM, including
+// time suspended.
 func NewLog(sink platform.Sink, now func() time.Duration) *Log {
-	return &Log{sink: sink, now: now, objects: make(map[string]platform.Object), news: make(chan struct{})}
+	return &Log{sink: sink, now: now, objects: make(map[string]platform.Object), changed: make(chan struct{})}
 }
 
 // Listed implements platform.Sink.
@@ -67,7 +71,7 @@
 		l.objects[object.Name] = object
 	}
 	l.changes, l.floor, l.version = nil, list.Version, list.Version
-	l.tell()
+	l.notifyWaiters()
 	l.mu.Unlock()
 	return l.sink.Listed(list)
 }
@@ -77,13 +81,13 @@
 	l.mu.Lock()
 	l.version = max(l.version, event.Object.Version)
 	if !event.Bookmark {
-		l.change(event)
+		l.apply(event)
 	}
 	l.mu.Unlock()
 	return l.sink.Watched(event)
 }
 
-func (l *Log) change(event platform.WatchEvent) {
+func (l *Log) apply(event platform.WatchEvent) {
 	if event.Deleted {
 		delete(l.objects, event.Object.Name)
 		event.Object.Value = nil
@@ -91,98 +95,99 @@
 		l.objects[event.Object.Name] = event.Object
 	}
 	l.changes = append(l.changes, event)
-	if len(l.changes) > changesKept {
+	if len(l.changes) > maxChanges {
 		l.floor = l.changes[0].Object.Version
 		l.changes = l.changes[1:]
 	}
-	l.tell()
+	l.notifyWaiters()
 }
 
-// Broken implements platform.Sink. Who waits here learns it at once and asks elsewhere.
+// Broken implements platform.Sink. It wakes the requests that wait here, so that the VMs
+// that sent them ask elsewhere at once.
 func (l *Log) Broken(err error) {
 	if !errors.Is(err, platform.ErrCompacted) {
 		l.mu.Lock()
-		l.lost = true
-		l.tell()
+		l.unavailable = true
+		l.notifyWaiters()
 		l.mu.Unlock()
 	}
 	l.sink.Broken(err)
 }
 
-// answered says that the platform itself has answered this VM.
-func (l *Log) answered() {
+// recordPlatformAnswer records that the platform itself has answered this VM.
+func (l *Log) recordPlatformAnswer() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.own = l.now()
-	l.proof.At = l.own
-	if l.lost {
-		l.lost, l.proof.Back = false, l.proof.At
+	l.lastPlatformAnswer = l.now()
+	l.proof.VerifiedAt = l.lastPlatformAnswer
+	if l.unavailable {
+		l.unavailable, l.proof.RecoveredAt = false, l.proof.VerifiedAt
 	}
 }
 
-// reading tells whether the platform itself answered this VM a moment ago.
-func (l *Log) reading() bool {
+// readsPlatform reports whether the platform itself answered this VM within maxProofAge.
+func (l *Log) readsPlatform() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.own > 0 && !l.lost && l.now()-l.own < believed
+	return l.lastPlatformAnswer > 0 && !l.unavailable && l.now()-l.lastPlatformAnswer < maxProofAge
 }
 
-// learnt takes the proof of another VM. It returns true when the platform was away,
-// which this VM had not noticed: what is missing since may come back.
-func (l *Log) learnt(proof Proof) (missedOutage bool) {
+// mergeProof merges the proof of another VM. It returns true after a platform outage
+// that this VM did not notice: objects that were missing since then may reappear.
+func (l *Log) mergeProof(proof Proof) (missedOutage bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.proof.At = max(l.proof.At, proof.At)
-	l.lost = false
-	// The same return of the platform shows a little earlier or later on each VM.
-	missedOutage = proof.Back > l.proof.Back+sameReturn
-	l.proof.Back = max(l.proof.Back, proof.Back)
+	l.proof.VerifiedAt = max(l.proof.VerifiedAt, proof.VerifiedAt)
+	l.unavailable = false
+	// Each VM observes the same recovery of the platform at a slightly different time.
+	missedOutage = proof.RecoveredAt > l.proof.RecoveredAt+recoveryTolerance
+	l.proof.RecoveredAt = max(l.proof.RecoveredAt, proof.RecoveredAt)
 	return missedOutage
 }
 
-// sameReturn is by how much VMs may differ on when the platform was back: they try again
-// every 0.2 to 0.4 s.
-const sameReturn = time.Second
+// recoveryTolerance is by how much VMs may differ on when the platform recovered: they
+// retry every 0.2 to 0.4 s.
+const recoveryTolerance = time.Second
 
-// tell wakes those who wait. It must be called with the lock held.
-func (l *Log) tell() {
-	close(l.news)
-	l.news = make(chan struct{})
+// notifyWaiters wakes the waiting requests. l.mu must be held.
+func (l *Log) notifyWaiters() {
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// answer is what is told to a VM that knows everything up to a version.
-type answer struct {
+// changeSet is the answer to a VM that knows everything up to a version.
+type changeSet struct {
 	page  platform.Page
 	proof Proof
-	// lost says that nothing may be believed any more.
-	lost bool
-	// news is closed when there may be more to tell.
-	news <-chan struct{}
+	// unavailable is true when the log's data is not valid any more.
+	unavailable bool
+	// changed is closed when there may be more changes.
+	changed <-chan struct{}
 }
 
-// since tells what has changed after a version, or all objects where the changes aren't
-// known any more.
-func (l *Log) since(known history.Version) answer {
+// changesSince returns the changes after a version, or all objects if those changes are
+// no longer retained.
+func (l *Log) changesSince(known history.Version) changeSet {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	told := answer{page: platform.Page{Version: l.version}, proof: l.proof, lost: l.lost, news: l.news}
+	result := changeSet{page: platform.Page{Version: l.version}, proof: l.proof, unavailable: l.unavailable, changed: l.changed}
 	if l.version == 0 {
-		return told
+		return result
 	}
 	if known >= l.floor && known > 0 {
 		for _, event := range l.changes {
 			if event.Object.Version > known {
-				told.page.Events = append(told.page.Events, event)
+				result.page.Events = append(result.page.Events, event)
 			}
 		}
-		return told
+		return result
 	}
-	told.page.Whole = true
+	result.page.Whole = true
 	for _, object := range slices.SortedFunc(maps.Values(l.objects), func(a, b platform.Object) int { return strings.Compare(a.Name, b.Name) }) {
-		told.page.Events = append(told.page.Events, platform.WatchEvent{Object: object})
+		result.page.Events = append(result.page.Events, platform.WatchEvent{Object: object})
 	}
-	return told
+	return result
 }
 
-// settled tells whether there is something to tell at once.
-func (a answer) settled() bool { return a.lost || a.page.Whole || len(a.page.Events) > 0 }
+// ready reports whether there is something to send at once.
+func (c changeSet) ready() bool { return c.unavailable || c.page.Whole || len(c.page.Events) > 0 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -14,67 +14,67 @@
 	"oleandershunt.example/oleandershunt/internal/platform"
 )
 
-// knownWithin is how soon every VM must know a change, though VMs fall silent: servers
-// that leave go on for 2 s or more.
+// knownWithin is how soon every VM must know a change although other VMs do not answer:
+// servers that leave keep running for 2 s or more.
 const knownWithin = "1900ms"
 
-// Symptom: the calls of the store grow with the VMs times the changes. Sequence: 27 VMs
-// of three data centres follow the same entries. Cause: each asks the store, though a few
-// could tell the others.
-func TestTwoVMsReadForAll(t *testing.T) {
+// Guards against store calls growing with the number of VMs times the number of changes:
+// 27 VMs of three data centres follow the same entries, and only the readers may call
+// the store.
+func TestOnlyReadersCallTheStore(t *testing.T) {
 	g := NewWithT(t)
-	r := newRig(t, newStore("s1"), 3, 9)
-	for _, v := range r.vms {
+	c := newCluster(t, newStore("s1"), 3, 9)
+	for _, v := range c.vms {
 		g.Eventually(v.known.has("s1"), "5s").Should(BeTrue())
 	}
-	readers := r.readers()
-	g.Expect(readers).To(HaveLen(mirror.Readers))
-	g.Expect(readers[0].DataCentre).NotTo(Equal(readers[1].DataCentre), "a data centre that is cut off takes one of them")
+	readers := c.readers()
+	g.Expect(readers).To(HaveLen(mirror.ReaderCount))
+	g.Expect(readers[0].DataCentre).NotTo(Equal(readers[1].DataCentre), "the loss of one data centre must leave one reader")
 	for _, v := range readers {
-		g.Expect(v.Cores).To(Equal(0.8), "a VM with much processor time has the duty")
+		g.Expect(v.Cores).To(Equal(0.8), "the VMs with the most cores must be readers")
 	}
 	before := make(map[string]int64)
-	calls := func(v *vm) int64 { return v.way.lists.Load() + v.way.watches.Load() }
-	for _, v := range r.vms {
+	calls := func(v *vm) int64 { return v.store.lists.Load() + v.store.watches.Load() }
+	for _, v := range c.vms {
 		before[v.Name] = calls(v)
 	}
 	for _, name := range []string{"s2", "s3", "s4"} {
-		r.store.set(name, false)
-		for _, v := range r.vms {
+		c.store.set(name, false)
+		for _, v := range c.vms {
 			g.Eventually(v.known.has(name), knownWithin).Should(BeTrue())
 		}
 	}
-	for _, v := range r.vms {
+	for _, v := range c.vms {
 		if v.follower.Reads() {
 			g.Expect(calls(v)).To(BeNumerically(">=", before[v.Name]+3))
 		} else {
-			g.Expect(calls(v)).To(Equal(before[v.Name]), "it learns from others")
+			g.Expect(calls(v)).To(Equal(before[v.Name]), "a VM that is not a reader must fetch from others")
 		}
 	}
 }
 
-// Symptom: a server gets requests after it has left. Sequence: the VM that tells all
-// others of departures falls silent, with its connections open, at the moment at which a
-// server leaves; so do the first VMs of a data centre. Cause: the others wait for them.
-func TestADepartureIsKnownThoughThoseWhoTellFallSilent(t *testing.T) {
-	for name, silent := range map[string]func(r *rig) []*vm{
-		"readers": func(r *rig) []*vm { return r.readers() },
-		"first VMs of a data centre": func(r *rig) []*vm {
-			return []*vm{r.find(r.ranked("dc-2")[0].Name), r.find(r.ranked("dc-2")[1].Name)}
+// Guards against requests to a server that has left: the readers, or the first VMs of a
+// data centre, stop answering with their connections open just as a server leaves, and
+// the other VMs wait for them.
+func TestDepartureIsKnownWhenSourcesStopAnswering(t *testing.T) {
+	for name, silent := range map[string]func(c *cluster) []*vm{
+		"readers": func(c *cluster) []*vm { return c.readers() },
+		"first VMs of a data centre": func(c *cluster) []*vm {
+			return []*vm{c.find(c.ranked("dc-2")[0].Name), c.find(c.ranked("dc-2")[1].Name)}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			r := newRig(t, newStore("s1", "s2"), 3, 6)
-			for _, v := range r.vms {
+			c := newCluster(t, newStore("s1", "s2"), 3, 6)
+			for _, v := range c.vms {
 				g.Eventually(v.known.has("s1"), "5s").Should(BeTrue())
 			}
-			for _, v := range silent(r) {
-				v.dark.Store(true)
+			for _, v := range silent(c) {
+				v.unresponsive.Store(true)
 			}
-			r.store.set("s1", true)
-			for _, v := range r.vms {
-				if !v.dark.Load() {
+			c.store.set("s1", true)
+			for _, v := range c.vms {
+				if !v.unresponsive.Load() {
 					g.Eventually(v.known.has("s1"), knownWithin).Should(BeFalse(), v.Name)
 				}
 			}
@@ -82,41 +82,41 @@
 	}
 }
 
-// Symptom: VMs tell one another for ever what nobody reads any more. Sequence: the store
-// answers none of them. Cause: what was heard from another VM counts as proof, though
-// that VM heard it from this one.
-func TestNobodyBelievesWhatNobodyReads(t *testing.T) {
+// Guards against VMs serving stale data to one another forever while the store answers
+// none of them: an answer from another VM must not count as proof if that VM got it from
+// this one.
+func TestStoreOutageIsDetectedAndRecovered(t *testing.T) {
 	g := NewWithT(t)
-	r := newRig(t, newStore("s1"), 2, 4)
-	for _, v := range r.vms {
+	c := newCluster(t, newStore("s1"), 2, 4)
+	for _, v := range c.vms {
 		g.Eventually(v.known.has("s1"), "5s").Should(BeTrue())
 	}
-	r.store.setDown(true)
-	for _, v := range r.vms {
-		g.Eventually(v.known.broken, "5s").Should(BeNumerically(">", 0), "it is told that the store is away")
+	c.store.setDown(true)
+	for _, v := range c.vms {
+		g.Eventually(v.known.broken, "5s").Should(BeNumerically(">", 0), "the sink must be notified that the store is unavailable")
 	}
-	r.store.set("s2", false)
-	r.store.setDown(false)
-	for _, v := range r.vms {
+	c.store.set("s2", false)
+	c.store.setDown(false)
+	for _, v := range c.vms {
 		g.Eventually(v.known.has("s2"), knownWithin).Should(BeTrue())
 	}
 }
 
-// heard is a log whose sink notes what it is told.
-func heard(t *testing.T) (*mirror.Log, *names) {
+// newListedLog returns a log with one listed object, and the sink that records what the
+// log passes on.
+func newListedLog(t *testing.T) (*mirror.Log, *names) {
 	known := &names{known: make(map[string]bool)}
 	log := mirror.NewLog(known, func() time.Duration { return time.Minute })
 	NewWithT(t).Expect(log.Listed(platform.List{Version: 5, Items: []platform.Object{{Name: "s1", Version: 3}}})).To(Succeed())
 	return log, known
 }
 
-// Symptom: a server that lives is dropped after an outage of the store. Sequence: the
-// outage begins and ends while this VM waits at another one; that VM finds the server's
-// entry lapsed and tells so. Cause: this VM doesn't know of the outage, in which entries
-// lapse that come back.
-func TestAnOutageThatOnlyOthersNoticedIsLearnt(t *testing.T) {
+// Guards against dropping a live server after a store outage that begins and ends while
+// this VM waits at another one. Entries that lapse in an outage may reappear, so this VM
+// must learn of the outage from the other one.
+func TestOutageIsLearntFromAnotherVM(t *testing.T) {
 	g := NewWithT(t)
-	log, known := heard(t)
+	log, known := newListedLog(t)
 	age, back := uint64(1000), uint64(400_000)
 	answer := &entriesv1.ChangesResponse{Version: 9, ProofAgeMicros: &age}
 	follower := mirror.NewFollower(log, mirror.Options{
@@ -135,14 +135,14 @@
 	g.Expect(known.broken()).To(Equal(1))
 	_, ok = follower.Next(t.Context(), 9)
 	g.Expect(ok).To(BeTrue())
-	g.Expect(known.broken()).To(Equal(1), "it is the same outage")
+	g.Expect(known.broken()).To(Equal(1), "the same outage must be reported once")
 }
 
-// Symptom: a VM whose way to the store is dead tells others for ever that nothing
-// changes. Sequence: its watch is silent. Cause: its word has no age.
-func TestAnOldProofIsNotBelieved(t *testing.T) {
+// Guards against a VM that is cut off from the store, with its watch silent, reporting
+// forever that nothing changes: its data must have an age.
+func TestOldProofIsRejected(t *testing.T) {
 	g := NewWithT(t)
-	log, _ := heard(t)
+	log, _ := newListedLog(t)
 	age := uint64(3_100_000)
 	follower := mirror.NewFollower(log, mirror.Options{
 		Kind: kind, Self: "vm-1", Settled: func() bool { return false }, Contacts: []string{"vm-2"},
@@ -155,10 +155,11 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-// Guards against: a VM that still has a former history of the store keeps others there.
-func TestAVMInAFormerHistoryIsNotBelieved(t *testing.T) {
+// Guards against a VM that still has a former history of the store keeping other VMs in
+// it.
+func TestAnswerFromFormerHistoryIsRejected(t *testing.T) {
 	g := NewWithT(t)
-	log, _ := heard(t)
+	log, _ := newListedLog(t)
 	former, err := history.NewVersion(1, 900)
 	g.Expect(err).NotTo(HaveOccurred())
 	present, err := history.NewVersion(2, 5)
@@ -175,9 +176,9 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-func TestChangesThatAreForgottenBringEverything(t *testing.T) {
+func TestDroppedChangesReturnAllObjects(t *testing.T) {
 	g := NewWithT(t)
-	log, _ := heard(t)
+	log, _ := newListedLog(t)
 	follower := mirror.NewFollower(log, mirror.Options{})
 	follower.Answered()
 	service := &mirror.Service{Log: log}
@@ -187,7 +188,7 @@
 		return answer.Msg
 	}
 	g.Expect(ask(0).Whole).To(BeTrue())
-	g.Expect(ask(4).Whole).To(BeTrue(), "changes before the list aren't known")
+	g.Expect(ask(4).Whole).To(BeTrue(), "changes before the list are not retained")
 	g.Expect(ask(5).Entries).To(BeEmpty())
 	const many = 600
 	for i := range history.Version(many) {
--- a/internal/mirror/service.go
+++ b/internal/mirror/service.go
@@ -13,10 +13,10 @@
 	"oleandershunt.example/oleandershunt/internal/platform"
 )
 
-// longestWait bounds how long an answer waits for a change.
-const longestWait = 2 * time.Second
+// maxWait bounds how long a request waits for a change.
+const maxWait = 2 * time.Second
 
-// Service tells other VMs what a log knows.
+// Service serves the contents of a Log to other VMs.
 type Service struct {
 	entriesv1connect.UnimplementedEntriesServiceHandler
 	Log *Log
@@ -24,32 +24,32 @@
 
 // Changes implements entriesv1connect.EntriesServiceHandler.
 func (s *Service) Changes(ctx context.Context, request *connect.Request[entriesv1.ChangesRequest]) (*connect.Response[entriesv1.ChangesResponse], error) {
-	wait := min(time.Duration(request.Msg.WaitMillis)*time.Millisecond, longestWait)
+	wait := min(time.Duration(request.Msg.WaitMillis)*time.Millisecond, maxWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	told := s.Log.since(history.Version(request.Msg.Known))
-	for waiting := wait > 0; waiting && !told.settled(); {
+	changes := s.Log.changesSince(history.Version(request.Msg.Known))
+	for waiting := wait > 0; waiting && !changes.ready(); {
 		select {
-		case <-told.news:
+		case <-changes.changed:
 		case <-timer.C:
 			waiting = false
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		told = s.Log.since(history.Version(request.Msg.Known))
+		changes = s.Log.changesSince(history.Version(request.Msg.Known))
 	}
-	return connect.NewResponse(encode(told, s.Log.now())), nil
+	return connect.NewResponse(encode(changes, s.Log.now())), nil
 }
 
-func encode(told answer, now time.Duration) *entriesv1.ChangesResponse {
-	if told.lost || told.proof.At == 0 || told.page.Version == 0 {
+func encode(changes changeSet, now time.Duration) *entriesv1.ChangesResponse {
+	if changes.unavailable || changes.proof.VerifiedAt == 0 || changes.page.Version == 0 {
 		return &entriesv1.ChangesResponse{}
 	}
-	response := &entriesv1.ChangesResponse{Version: uint64(told.page.Version), Whole: told.page.Whole, ProofAgeMicros: age(now, told.proof.At)}
-	if told.proof.Back > 0 {
-		response.BackAgeMicros = age(now, told.proof.Back)
+	response := &entriesv1.ChangesResponse{Version: uint64(changes.page.Version), Whole: changes.page.Whole, ProofAgeMicros: ageMicros(now, changes.proof.VerifiedAt)}
+	if changes.proof.RecoveredAt > 0 {
+		response.BackAgeMicros = ageMicros(now, changes.proof.RecoveredAt)
 	}
-	for _, event := range told.page.Events {
+	for _, event := range changes.page.Events {
 		response.Entries = append(response.Entries, &entriesv1.Entry{
 			Name: event.Object.Name, Version: uint64(event.Object.Version), Value: event.Object.Value, Gone: event.Deleted,
 		})
@@ -57,14 +57,14 @@
 	return response
 }
 
-func age(now, at time.Duration) *uint64 {
+func ageMicros(now, at time.Duration) *uint64 {
 	micros := uint64(max(now-at, 0).Microseconds())
 	return &micros
 }
 
-// decode reads an answer to a question that was sent at a moment. Ages count from then,
-// so that neither the way nor a pause of either VM makes a proof look newer than it is.
-// False says that the VM asked knows nothing to be believed.
+// decode converts the answer to a request sent at the given time. Ages count from that
+// time, so that neither network delay nor a pause of either VM makes a proof look newer
+// than it is. It returns false if the VM asked has no valid data.
 func decode(kind string, response *entriesv1.ChangesResponse, sent time.Duration) (platform.Page, Proof, bool) {
 	if response.ProofAgeMicros == nil {
 		return platform.Page{}, Proof{}, false
@@ -74,9 +74,9 @@
 		object := platform.Object{Kind: kind, Name: entry.Name, Version: history.Version(entry.Version), Value: entry.Value}
 		page.Events = append(page.Events, platform.WatchEvent{Object: object, Deleted: entry.Gone})
 	}
-	proof := Proof{At: sent - peer.Age(*response.ProofAgeMicros)}
+	proof := Proof{VerifiedAt: sent - peer.Age(*response.ProofAgeMicros)}
 	if response.BackAgeMicros != nil {
-		proof.Back = sent - peer.Age(*response.BackAgeMicros)
+		proof.RecoveredAt = sent - peer.Age(*response.BackAgeMicros)
 	}
 	return page, proof, true
 }
