--- a/internal/engine/fuzz_test.go
+++ b/internal/engine/fuzz_test.go
@@ -20,14 +20,14 @@
 	}
 }
 
-const goodFrame = `{"request":"r","attempt":1,"token":{"index":0,"id":7,"text":"x","receipts":[` +
+const validFrame = `{"request":"r","attempt":1,"token":{"index":0,"id":7,"text":"x","receipts":[` +
 	`{"server":"a","incarnation":1,"version":"v1","layers":{"from":0,"to":2},"attempt":1},` +
 	`{"server":"b","incarnation":1,"version":"v1","layers":{"from":2,"to":4},"attempt":1}]}}`
 
-// Symptom: the VM panics, or a caller gets a token that nothing proves.
-// Sequence: an engine sends any bytes. Cause: a decoder that trusts them.
+// FuzzStream feeds arbitrary bytes from an engine to the decoder: it must not panic, nor
+// yield a token that its receipts do not prove.
 func FuzzStream(f *testing.F) {
-	for _, seed := range []string{goodFrame + "\n", goodFrame, "{}\n", "null\n", "\x00\xff{]\n", `{"request":"r","attempt":1,"finish":"stop"}` + "\n", `{"request":"r","attempt":1,"token":{}}` + "\n", "\n"} {
+	for _, seed := range []string{validFrame + "\n", validFrame, "{}\n", "null\n", "\x00\xff{]\n", `{"request":"r","attempt":1,"finish":"stop"}` + "\n", `{"request":"r","attempt":1,"token":{}}` + "\n", "\n"} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -50,20 +50,20 @@
 	})
 }
 
-// Symptom: a frame is read in another way than its JSON says. Cause: the fast
-// decoder differs from the standard one.
+// FuzzDecodeFrameLikeTheStandardLibrary checks that the fast decoder agrees with the
+// standard library on every line that it accepts.
 func FuzzDecodeFrameLikeTheStandardLibrary(f *testing.F) {
 	for _, seed := range []string{
-		goodFrame, `{"request":"\u00e9","attempt":1e0,"finish":"x"}`, `{"token":null}`, `[]`, `{"attempt":99999999999999999999}`, goodFrame + `{}`,
-		strings.ReplaceAll(goodFrame, `"b"`, `"c"`), `{"token":{"receipts":null}}`, `{"token":{}}`, `{"token":{"receipts":[]}}`, `{"token":{"receipts":[7]}}`,
+		validFrame, `{"request":"\u00e9","attempt":1e0,"finish":"x"}`, `{"token":null}`, `[]`, `{"attempt":99999999999999999999}`, validFrame + `{}`,
+		strings.ReplaceAll(validFrame, `"b"`, `"c"`), `{"token":{"receipts":null}}`, `{"token":{}}`, `{"token":{"receipts":[]}}`, `{"token":{"receipts":[7]}}`,
 	} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		g := NewWithT(t)
-		// Receipts that a stream has seen before are not decoded again.
+		// Receipts equal to the previous ones are not decoded again.
 		var seen frameDecoder
-		for _, line := range [][]byte{[]byte(goodFrame), data, data} {
+		for _, line := range [][]byte{[]byte(validFrame), data, data} {
 			frame, err := seen.decode(line)
 			if err != nil {
 				g.Expect(err).To(MatchError(ErrBadFrame))
@@ -76,8 +76,8 @@
 	})
 }
 
-// Symptom: a caller is told "not run" though nothing proves it. Sequence: an
-// engine's answer other than 200 holds any bytes.
+// FuzzRefusal guards against reporting a request as "not run" without proof: an answer
+// other than 200 may hold arbitrary bytes.
 func FuzzRefusal(f *testing.F) {
 	for _, seed := range []string{`{"message":"full","kind":"busy"}`, `{"message":"x","started":true}`, `{}`, `null`, `<html>`} {
 		f.Add([]byte(seed))
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -19,31 +19,31 @@
 )
 
 const (
-	contentJSON     = "application/json"
+	contentTypeJSON = "application/json"
 	headerUserAgent = "User-Agent"
 )
 
-// DefaultConnectTimeout bounds the making of a connection to an engine. A
-// machine that is gone answers no connect at all; within a data centre or
-// between neighbouring ones a living one answers within milliseconds.
+// DefaultConnectTimeout bounds connecting to an engine. A dead machine never answers;
+// within a data centre or between neighbouring ones, a live one answers within
+// milliseconds.
 const DefaultConnectTimeout = 500 * time.Millisecond
 
-// HTTPClient is the Client for engines that speak HTTP.
+// HTTPClient is a Client for engines with an HTTP interface.
 type HTTPClient struct {
-	pooled *http.Client
-	fresh  *http.Client
+	pooled   *http.Client
+	unpooled *http.Client
 }
 
-// NewHTTPClient makes a client with its own connections.
+// NewHTTPClient returns a client with its own connections and DefaultConnectTimeout.
 func NewHTTPClient() *HTTPClient { return NewHTTPClientWithTimeout(DefaultConnectTimeout, nil) }
 
-// NewHTTPClientWithTimeout makes a client whose connects end after a time by a clock,
-// which may be nil.
+// NewHTTPClientWithTimeout returns a client with the given connect timeout, measured by
+// clock, which may be nil.
 func NewHTTPClientWithTimeout(connect time.Duration, clock *schedclock.Clock) *HTTPClient {
-	pooled, fresh := wire.Transports(connect, clock, idlePerServer)
+	pooled, unpooled := wire.Transports(connect, clock, maxIdlePerServer)
 	return &HTTPClient{
-		pooled: &http.Client{Transport: pooled},
-		fresh:  &http.Client{Transport: fresh},
+		pooled:   &http.Client{Transport: pooled},
+		unpooled: &http.Client{Transport: unpooled},
 	}
 }
 
@@ -60,29 +60,29 @@
 	}
 	client := c.pooled
 	if attempt.Once {
-		client = c.fresh
+		client = c.unpooled
 	}
 	wire.Inject(ctx, request.Header)
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, classify(err, sent.Any())
+		return nil, attemptError(err, sent.Any())
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, refusal(response)
+		return nil, refusalError(response)
 	}
 	return newStream(response.Body), nil
 }
 
-// classify tells an attempt of which no byte left this process, which proves
-// that nothing ran, from one that broke later, which proves nothing.
-func classify(err error, sent bool) error {
+// attemptError wraps the error of an attempt in ErrNotStarted if no byte of it left this
+// process, which proves that nothing ran, and in ErrMayHaveStarted otherwise.
+func attemptError(err error, sent bool) error {
 	if sent {
 		return fmt.Errorf("%w: %w", ErrMayHaveStarted, err)
 	}
 	return fmt.Errorf("%w: %w", ErrNotStarted, err)
 }
 
-func refusal(response *http.Response) error {
+func refusalError(response *http.Response) error {
 	defer response.Body.Close()
 	refusal, err := decodeRefusal(response.Body)
 	if err != nil || refusal.Started {
@@ -91,7 +91,8 @@
 	return fmt.Errorf("%w: status %d: %s", ErrNotStarted, response.StatusCode, refusal.Message)
 }
 
-// decodeRefusal reads an engine's refusal. Bytes that are not one prove nothing.
+// decodeRefusal decodes an engine's refusal. It returns an error for a body that is not
+// one: such a body does not prove that no work started.
 func decodeRefusal(body io.Reader) (Refusal, error) {
 	var refusal Refusal
 	data, err := io.ReadAll(io.LimitReader(body, maxRefusalBytes))
@@ -145,9 +146,9 @@
 // Order implements Client.
 func (c *HTTPClient) Order(ctx context.Context, address string, order Order) error {
 	ctx, sent := wire.WatchSent(ctx)
-	// On a connection of its own: a reused one that the engine is closing takes
-	// the bytes of an order which then never arrives, and leaves it unknown.
-	err := post(ctx, c.fresh, address+PathOrders, order)
+	// Orders use a new connection: on a reused one that the engine is closing, an order
+	// can be sent but never arrive, which leaves its outcome unknown.
+	err := post(ctx, c.unpooled, address+PathOrders, order)
 	var refused *refusedError
 	switch {
 	case err == nil:
@@ -161,7 +162,7 @@
 	}
 }
 
-// refusedError is an answer other than 200 with the engine's reason.
+// refusedError is an answer other than 200 that carries the engine's reason.
 type refusedError struct {
 	status  int
 	refusal Refusal
@@ -177,8 +178,8 @@
 	if err != nil {
 		return err
 	}
-	// Probes are most of what this VM sends engines besides work; net/http's
-	// name for itself tells them nothing.
+	// Drop Go's default User-Agent: probes are most of the traffic to engines besides
+	// work, and the header is of no use to them.
 	request.Header[headerUserAgent] = nil
 	return do(c.pooled, request, into)
 }
@@ -201,7 +202,7 @@
 		return nil, err
 	}
 	request.ContentLength = int64(len(body))
-	request.Header.Set("Content-Type", contentJSON)
+	request.Header.Set("Content-Type", contentTypeJSON)
 	return request, nil
 }
 
@@ -211,7 +212,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	body := io.LimitReader(response.Body, maxAnswerBytes)
+	body := io.LimitReader(response.Body, maxResponseBytes)
 	if response.StatusCode != http.StatusOK {
 		refusal, err := decodeRefusal(body)
 		if err != nil {
--- a/internal/engine/receipts.go
+++ b/internal/engine/receipts.go
@@ -12,7 +12,7 @@
 // exactly once, in order, on the expected version.
 var ErrBadReceipts = eris.New("receipts do not prove the token: the attempt ends and the server is avoided")
 
-// Expectation is what the receipts of every token of an attempt must show.
+// Expectation describes what the receipts of every token of an attempt must show.
 type Expectation struct {
 	Request string
 	Attempt int
@@ -20,14 +20,14 @@
 	Path    []Hop
 	// NextIndex is the index of the next token.
 	NextIndex int
-	// Layers is how many layers the path must tile.
+	// Layers is the number of layers that the path must cover.
 	Layers int
 
-	// incarnations are those that the first token's receipts showed, one a stage.
+	// incarnations are those in the receipts of the first token, one per stage.
 	incarnations []uint64
 }
 
-// ExpectationOf is what the frames of a dispatch must show.
+// ExpectationOf returns the expectation for the frames of a dispatch.
 func ExpectationOf(dispatch core.Dispatch) *Expectation {
 	hops := make([]Hop, 0, len(dispatch.Path))
 	layers := dispatch.Layers
@@ -44,29 +44,28 @@
 	}
 }
 
-// Judgement is what is to be done with a frame.
+// Judgement classifies a frame.
 type Judgement int
 
-// The judgements of a frame.
+// The classes of frames.
 const (
 	// FrameForeign belongs to another stream or an earlier attempt: drop it.
 	FrameForeign Judgement = iota
-	// FrameToken has a proven token: deliver it.
+	// FrameToken has a token proven by its receipts: deliver it.
 	FrameToken
-	// FrameFinish ends the whole answer.
+	// FrameFinish ends the complete answer.
 	FrameFinish
-	// FrameFault ends the attempt; its server, where known, is at fault.
+	// FrameFault ends the attempt; the server that it names, if any, is at fault.
 	FrameFault
-	// FrameUnproven has a token whose receipts don't prove it: end the attempt.
+	// FrameUnproven has a token whose receipts do not prove it: end the attempt.
 	FrameUnproven
 )
 
-// Judge decides about one frame of the attempt's stream, and names the server
-// at fault where there is one. A live attempt and the replay of a recorded one
-// both decide by it.
+// Judge classifies one frame of the attempt's stream, and returns the server at fault,
+// if any. Live attempts and the replay of recorded ones both use it.
 func (e *Expectation) Judge(frame Frame) (Judgement, string) {
 	switch {
-	case !e.Own(frame):
+	case !e.Matches(frame):
 		return FrameForeign, ""
 	case frame.Fault != nil:
 		return FrameFault, frame.Fault.Server
@@ -79,8 +78,8 @@
 	return FrameToken, ""
 }
 
-// Check verifies a frame before its token may be shown to the caller. The
-// second result names the server at fault, where one can be named.
+// Check verifies a frame before its token is delivered to the caller, and advances
+// NextIndex. With an error it returns the server at fault, if known.
 func (e *Expectation) Check(frame Frame) (server string, err error) {
 	if frame.Token.Index != e.NextIndex {
 		return e.Path[0].Server, fmt.Errorf("%w: token index %d, want %d", ErrBadReceipts, frame.Token.Index, e.NextIndex)
@@ -93,7 +92,7 @@
 			return e.Path[i].Server, err
 		}
 	}
-	if server, err := e.checkTiling(frame.Token.Receipts); err != nil {
+	if server, err := e.checkLayerCoverage(frame.Token.Receipts); err != nil {
 		return server, err
 	}
 	if server, err := e.checkIncarnations(frame.Token.Receipts); err != nil {
@@ -118,10 +117,10 @@
 	}
 }
 
-// checkTiling verifies by the receipts alone that layers [0, L) ran once each,
-// in order. A path that was put together wrongly, whose every stage then does
-// as it was told, would show here and nowhere else.
-func (e *Expectation) checkTiling(receipts []Receipt) (string, error) {
+// checkLayerCoverage verifies from the receipts alone that layers [0, L) ran once each,
+// in order. It is the only check that detects a wrongly assembled path, as every stage
+// of such a path runs exactly the layers that it was given.
+func (e *Expectation) checkLayerCoverage(receipts []Receipt) (string, error) {
 	next := 0
 	for _, receipt := range receipts {
 		if receipt.Layers.From != next || receipt.Layers.To <= next {
@@ -135,8 +134,8 @@
 	return "", nil
 }
 
-// checkIncarnations verifies that each stage stays one process: a stage that
-// was restarted within the attempt has lost the KV cache of the earlier tokens.
+// checkIncarnations verifies that no stage was restarted within the attempt: the new
+// process would lack the KV cache of the earlier tokens.
 func (e *Expectation) checkIncarnations(receipts []Receipt) (string, error) {
 	if e.incarnations == nil {
 		e.incarnations = make([]uint64, 0, len(receipts))
@@ -153,8 +152,8 @@
 	return "", nil
 }
 
-// Own tells whether a frame belongs to this attempt. Frames of an earlier
-// attempt or of another stream are dropped by the caller, never delivered.
-func (e *Expectation) Own(frame Frame) bool {
+// Matches reports whether a frame belongs to this attempt. The caller drops frames of an
+// earlier attempt or of another stream and never delivers them.
+func (e *Expectation) Matches(frame Frame) bool {
 	return frame.Request == e.Request && frame.Attempt == e.Attempt
 }
