--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -12,77 +12,79 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// The pace of reading the configuration, in parts of the time in which a new version
-// must be in force. Every read of the platform is paid for, so one VM of each data
-// centre reads and the others wait for its word. At worst a version was written just
-// after a read, the next one is due when the reader is lost, and a wait has just begun:
-// 0.45 + 0.25 of the time and a few hundred milliseconds.
+// Intervals of configuration reads, as fractions of the time within which a new version
+// must be in force. Every platform read is billed, so one VM per data centre reads and the
+// others long-poll it. The worst case is a version written just after a read, a reader
+// lost just before its next read, and a follower's wait that has just begun: 0.45 + 0.25
+// of the time plus a few hundred milliseconds.
 const (
-	// readPart is the part between two reads.
-	readPart = 0.45
-	// followPart is the part that one wait for another VM's word takes.
-	followPart = 0.25
-	// latePart is by how much a word's proof may be older than the read and the waits
-	// on its way make it.
-	latePart = 0.1
-	// readAgain is the time to the next read after one that failed, of the VM that reads for
-	// its data centre. It grows by half with each place behind that one, up to readAgainMost:
-	// that the platform is back comes with the sums of loads half a second later, and of 195
-	// VMs that each read twice a second in an outage of eight seconds come 3,100 calls, all
-	// of which are paid for. A VM that is cut off from the others comes first in its own view.
-	readAgain     = 500 * time.Millisecond
-	readAgainMost = 2500 * time.Millisecond
-	// trustMargin is how much before the bound a proof ends: the time from the
-	// decision to a server's work.
-	trustMargin = 150 * time.Millisecond
+	// readFraction is the interval between two reads.
+	readFraction = 0.45
+	// followFraction is the duration of one long poll of another VM.
+	followFraction = 0.25
+	// proofDelayFraction is the extra age that a proof may have beyond the read interval
+	// and the long polls on its path.
+	proofDelayFraction = 0.1
+	// readRetryInterval is the delay before the next read after a failed one, for the VM
+	// that reads for its data centre. It grows by half for each rank behind that VM, up to
+	// maxReadRetryInterval: the tallies spread the news that the platform is available
+	// again within half a second, while 195 VMs that each read twice a second make 3,100
+	// billed calls in an outage of eight seconds. A VM that is partitioned from the others
+	// ranks first in its own view.
+	readRetryInterval    = 500 * time.Millisecond
+	maxReadRetryInterval = 2500 * time.Millisecond
+	// proofMargin is how long before its bound a proof expires: the time from the decision
+	// to a server's work.
+	proofMargin = 150 * time.Millisecond
 )
 
-// configReader keeps the configuration in force and knows how old the proof is
-// that it is the newest. A watch proves nothing: it may have gone deaf. Only an
-// answer to a question asked at a moment tells what was in force then: the
-// platform's, or that of a VM which the platform answered.
+// configReader keeps the configuration in force and the age of the proof that it is the
+// newest. A watch is no proof, because it may have stalled silently. Only the response to
+// a request that was sent at a known time shows what was in force then: a response of the
+// platform, or of a VM that the platform answered.
 type configReader struct {
 	parts      Parts
 	log        logr.Logger
 	dispatcher *relay.Dispatcher
-	keeper     *proofKeeper
-	// peers are the VMs that are asked when the platform doesn't answer; nil for none.
-	peers *configPeers
-	lost  bool
-	// older says that the platform's last answer was older than what is in force.
-	older bool
+	proofs     *proofTracker
+	// peers queries other VMs when the platform doesn't answer; nil without other VMs.
+	peers     *configPeers
+	proofLost bool
+	// platformOlder is set while the platform's last response was older than the
+	// configuration in force.
+	platformOlder bool
 }
 
 func newConfigReader(p Parts, d *relay.Dispatcher) *configReader {
-	return &configReader{parts: p, log: p.Log, dispatcher: d, keeper: newProofKeeper()}
+	return &configReader{parts: p, log: p.Log, dispatcher: d, proofs: newProofTracker()}
 }
 
-// proven tells whether keys may be trusted.
+// proven reports whether the proof is recent enough to accept keys.
 func (c *configReader) proven() bool {
-	at := c.keeper.get().provenAt
-	return at > 0 && bootclock.Now()-at < c.parts.current.get().KeyTrust-trustMargin
+	at := c.proofs.get().provenAt
+	return at > 0 && bootclock.Now()-at < c.parts.current.get().KeyTrust-proofMargin
 }
 
 func (c *configReader) run(ctx context.Context) error {
 	if c.peers != nil {
-		wait := beginWait
+		wait := startupWait
 		if c.parts.Settings.FirstStart {
-			wait = c.part(followPart)
+			wait = c.applyTimeFraction(followFraction)
 		}
-		c.peers.begin(ctx, wait, c.heard)
-		c.tell(nil)
+		c.peers.queryContact(ctx, wait, c.receiveState)
+		c.logProofChange(nil)
 	}
 	for ctx.Err() == nil {
-		if c.followed(ctx) {
-			c.tell(nil)
+		if c.followPeer(ctx) {
+			c.logProofChange(nil)
 			continue
 		}
-		wait := c.part(readPart)
+		wait := c.applyTimeFraction(readFraction)
 		err := c.read(ctx)
 		if err != nil {
-			wait = againAfter(c.place())
+			wait = readRetryDelay(c.readRank())
 		}
-		c.tell(err)
+		c.logProofChange(err)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -91,78 +93,80 @@
 	return ctx.Err()
 }
 
-// place is this VM's place among those of its data centre, from 0, in the order in which
-// they read.
-func (c *configReader) place() int {
+// readRank is this VM's rank, from 0, among the VMs of its data centre that may read.
+func (c *configReader) readRank() int {
 	if c.peers == nil {
 		return 0
 	}
-	_, position := c.peers.place()
+	_, position := c.peers.rank()
 	return max(position, 0)
 }
 
-// againAfter is the time to the next read of a VM after one that failed.
-func againAfter(place int) time.Duration {
-	return min(readAgain+time.Duration(place)*readAgain/2, readAgainMost)
+// readRetryDelay returns the delay before a VM's next read after a failed one, by its
+// rank.
+func readRetryDelay(rank int) time.Duration {
+	return min(readRetryInterval+time.Duration(rank)*readRetryInterval/2, maxReadRetryInterval)
 }
 
-func (c *configReader) part(part float64) time.Duration {
-	return time.Duration(part * float64(c.parts.current.get().ApplyWithin))
+func (c *configReader) applyTimeFraction(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(c.parts.current.get().ApplyWithin))
 }
 
-// followed learns from the VM that reads for this one. False when there is none, or
-// its proof is too old: it may be cut off from the platform, or paused.
-func (c *configReader) followed(ctx context.Context) bool {
+// followPeer learns from the VM that reads for this one. It returns false when there is
+// none, or when its proof is too old because it is cut off from the platform or paused.
+func (c *configReader) followPeer(ctx context.Context) bool {
 	if c.peers == nil {
 		return false
 	}
-	known := c.keeper.get().config
-	said, hops := c.peers.follow(ctx, known, c.part(followPart), c.heard)
-	now := c.keeper.get()
-	if hops == 0 || now.config < said {
+	known := c.proofs.get().configVersion
+	upstreamVersion, hops := c.peers.follow(ctx, known, c.applyTimeFraction(followFraction), c.receiveState)
+	now := c.proofs.get()
+	if hops == 0 || now.configVersion < upstreamVersion {
 		return false
 	}
-	return bootclock.Now()-now.provenAt < c.part(readPart+float64(hops)*followPart+latePart)
+	return bootclock.Now()-now.provenAt < c.applyTimeFraction(readFraction+float64(hops)*followFraction+proofDelayFraction)
 }
 
-// read asks the platform, and other VMs where it doesn't answer.
+// read reads the platform, and queries other VMs when it doesn't answer.
 func (c *configReader) read(ctx context.Context) error {
 	sent := bootclock.Now()
 	object, err := c.parts.Store.Get(ctx, c.parts.Config.Kind, c.parts.Config.Name)
 	if err == nil {
-		c.tellOlder(c.take(object, sent), object)
+		c.logOlderConfig(c.applyConfig(object, sent), object)
 	} else if c.peers != nil {
-		c.peers.ask(ctx, c.keeper.get().config, c.heard)
+		c.peers.queryPeers(ctx, c.proofs.get().configVersion, c.receiveState)
 	}
 	return err
 }
 
-// tellOlder logs that the platform's configuration is older than the one in force.
-func (c *configReader) tellOlder(config uint64, object objects.Object) {
-	now := c.keeper.get()
-	older := config > 0 && config < now.config
-	if older && !c.older {
-		telemetry.PlatformOlder.Log(c.log, "kind", c.parts.Config.Kind, "revision", object.Version.String(), "version", config, "inForce", now.config)
+// logOlderConfig logs that the platform's configuration is older than the one in force,
+// once per occurrence.
+func (c *configReader) logOlderConfig(version uint64, object objects.Object) {
+	now := c.proofs.get()
+	older := version > 0 && version < now.configVersion
+	if older && !c.platformOlder {
+		telemetry.PlatformOlder.Log(c.log, "kind", c.parts.Config.Kind, "revision", object.Version.String(), "version", version, "inForce", now.configVersion)
 	}
-	c.older = older
+	c.platformOlder = older
 }
 
-// heard takes another VM's word. One without a value tells of what is known already.
-func (c *configReader) heard(word inForce) {
-	if len(word.object.Value) == 0 {
-		c.keeper.renew(word.config, word.provenAt)
+// receiveState applies another VM's response. A response without a value confirms a known
+// version.
+func (c *configReader) receiveState(state configState) {
+	if len(state.object.Value) == 0 {
+		c.proofs.renewProof(state.configVersion, state.provenAt)
 		return
 	}
-	c.take(word.object, word.provenAt)
+	c.applyConfig(state.object, state.provenAt)
 }
 
-// take brings a configuration in force that was the newest at a moment, and returns its own
-// version. One that can't be read proves nothing; its version is 0.
-func (c *configReader) take(object objects.Object, at time.Duration) uint64 {
-	held := c.keeper.get()
-	if held.config > 0 && object.Version > 0 && object.Version == held.object.Version {
-		c.keeper.prove(held.config, held.object, at)
-		return held.config
+// applyConfig applies a configuration that was the newest at the given time and returns
+// its own version. One that can't be decoded is no proof; its version is 0.
+func (c *configReader) applyConfig(object objects.Object, at time.Duration) uint64 {
+	known := c.proofs.get()
+	if known.configVersion > 0 && object.Version > 0 && object.Version == known.object.Version {
+		c.proofs.recordProof(known.configVersion, known.object, at)
+		return known.configVersion
 	}
 	table, err := c.parts.Decode.Routes(object.Value)
 	if err != nil {
@@ -172,19 +176,19 @@
 	if c.dispatcher.SetTable(table) {
 		telemetry.RelayConfigInForce.Log(c.log, "version", table.Version, "revision", object.Version.String())
 	}
-	c.keeper.prove(table.Version, object, at)
+	c.proofs.recordProof(table.Version, object, at)
 	return table.Version
 }
 
-// tell logs when the proof is lost and when it is back.
-func (c *configReader) tell(err error) {
+// logProofChange logs when the proof expires and when there is a valid one again.
+func (c *configReader) logProofChange(err error) {
 	proven := c.proven()
 	switch {
-	case !proven && !c.lost && c.keeper.get().provenAt > 0:
-		c.lost = true
+	case !proven && !c.proofLost && c.proofs.get().provenAt > 0:
+		c.proofLost = true
 		telemetry.RelayProofLost.Log(c.log, "cause", telemetry.Cause(err))
-	case proven && c.lost:
-		c.lost = false
+	case proven && c.proofLost:
+		c.proofLost = false
 		telemetry.RelayProofBack.Log(c.log)
 	}
 }
--- a/internal/edge/configpeers.go
+++ b/internal/edge/configpeers.go
@@ -16,62 +16,61 @@
 	objects "oleandershunt.example/oleandershunt/internal/platform"
 )
 
-// The figures of asking other VMs for the configuration.
+// Limits of configuration queries to other VMs.
 const (
-	// peersAsked is how many VMs are asked at once: one of them may be as cut off
-	// as this one.
-	peersAsked = 2
-	// peerTimeout bounds the question, whose answer takes a millisecond or two.
-	peerTimeout = 300 * time.Millisecond
-	// beginWait and beginTimeout bound the first question of a VM that has callers
-	// already: the platform answers within some milliseconds.
-	beginWait    = 50 * time.Millisecond
-	beginTimeout = 50 * time.Millisecond
+	// maxQueriedPeers is how many VMs are queried at once. One of them may be as cut off
+	// from the platform as this one.
+	maxQueriedPeers = 2
+	// peerQueryTimeout bounds a query, which is answered within a millisecond or two.
+	peerQueryTimeout = 300 * time.Millisecond
+	// startupWait and startupTimeout bound the first query of a VM that may already have
+	// callers; the platform would answer within milliseconds.
+	startupWait    = 50 * time.Millisecond
+	startupTimeout = 50 * time.Millisecond
 )
 
-// configPeers asks other VMs what is in force.
+// configPeers queries other VMs for the configuration in force.
 type configPeers struct {
 	dialer *peer.Dialer
-	// self is this VM. others lists the VMs that may be asked, and ranked those of the
-	// data centre that live, this one included, in the order in which they read.
+	// self is this VM. others lists the VMs that may be queried, and ranked the live VMs
+	// of the data centre, this one included, in the order of their rank as reader.
 	self           string
 	others, ranked func() []string
-	// contacts are the addresses that are asked at the start, when no other VM is known.
+	// contacts are the addresses to query at startup, when no other VM is known.
 	contacts []string
 }
 
-// begin asks a contact for the configuration, before any other VM is known. A VM that
-// learns nothing reads the platform.
-//
-// What it gains: when all VMs start at once, few of them read the platform.
-func (p *configPeers) begin(ctx context.Context, wait time.Duration, take func(word inForce)) {
+// queryContact queries a contact for the configuration before any other VM is known. A VM
+// that gets no response reads the platform. So few VMs read the platform when all of them
+// start at once.
+func (p *configPeers) queryContact(ctx context.Context, wait time.Duration, apply func(state configState)) {
 	if len(p.contacts) == 0 {
 		return
 	}
 	sent := bootclock.Now()
 	client, url := p.dialer.Seed(p.contacts[rand.IntN(len(p.contacts))])
-	answer, err := inForceAt(ctx, client, url, wait+beginTimeout, &configv1.InForceRequest{WaitMillis: uint32(wait.Milliseconds())})
-	if word, ok := said(answer, err, sent); ok {
-		take(word)
+	answer, err := queryInForce(ctx, client, url, wait+startupTimeout, &configv1.InForceRequest{WaitMillis: uint32(wait.Milliseconds())})
+	if state, ok := parseInForce(answer, err, sent); ok {
+		apply(state)
 	}
 }
 
-// fanOut is how many VMs of a data centre learn the configuration from one.
+// fanOut is how many VMs of a data centre learn the configuration from one VM.
 const fanOut = 16
 
-// place lists the VMs of the data centre in the order in which they read, and this VM's place
-// among them, from 0; -1 when it is none of them.
-func (p *configPeers) place() (ranked []string, position int) {
+// rank lists the VMs of the data centre in the order of their rank as reader, and returns
+// this VM's rank, from 0, or -1 when it is not among them.
+func (p *configPeers) rank() (ranked []string, position int) {
 	ranked = p.ranked()
 	return ranked, slices.Index(ranked, p.self)
 }
 
-// upstream is the VM from which this one learns the configuration, and how many hops it
-// takes from the one that reads it for the data centre; 0 hops for that one itself. The
-// order of the VMs is the same on all that know the same ones live, and the loss of one
-// moves few.
+// upstream returns the VM from which this one learns the configuration, and the number of
+// hops to the VM that reads it for the data centre; 0 hops on that VM itself. VMs with the
+// same view of the live VMs compute the same tree, and the loss of one VM moves few
+// others.
 func (p *configPeers) upstream() (vm string, hops int) {
-	ranked, position := p.place()
+	ranked, position := p.rank()
 	if position <= 0 {
 		return "", 0
 	}
@@ -82,62 +81,62 @@
 	return vm, hops
 }
 
-// follow waits at the upstream VM for something newer than what is known, as long as
-// that is given, and hands over what it says. It returns the configuration in force there
-// and how many hops it took; 0 hops when nothing was said.
-func (p *configPeers) follow(ctx context.Context, known uint64, wait time.Duration, take func(word inForce)) (config uint64, hops int) {
+// follow long-polls the upstream VM for a configuration newer than known, for at most the
+// given wait, and passes the response to apply. It returns the version in force there and
+// the number of hops; 0 hops without a usable response.
+func (p *configPeers) follow(ctx context.Context, known uint64, wait time.Duration, apply func(state configState)) (config uint64, hops int) {
 	vm, hops := p.upstream()
 	if hops == 0 {
 		return 0, 0
 	}
 	sent := bootclock.Now()
-	answer, err := p.call(ctx, vm, wait+peerTimeout, &configv1.InForceRequest{Known: known, WaitMillis: uint32(wait.Milliseconds())})
-	word, ok := said(answer, err, sent)
+	answer, err := p.call(ctx, vm, wait+peerQueryTimeout, &configv1.InForceRequest{Known: known, WaitMillis: uint32(wait.Milliseconds())})
+	state, ok := parseInForce(answer, err, sent)
 	if !ok {
-		// The platform is read instead.
+		// The caller reads the platform instead.
 		return 0, 0
 	}
-	take(word)
-	return word.config, hops
+	apply(state)
+	return state.configVersion, hops
 }
 
-// said is what a VM says to be in force, and since when it is proven. False when it doesn't
-// answer, or has no proof.
-func said(answer *configv1.InForceResponse, err error, sent time.Duration) (inForce, bool) {
+// parseInForce converts a VM's response to the configuration in force there and the time
+// of its proof. It returns false without a response or without a proof.
+func parseInForce(answer *configv1.InForceResponse, err error, sent time.Duration) (configState, bool) {
 	if err != nil || answer.ProofAgeMicros == nil {
-		return inForce{}, false
+		return configState{}, false
 	}
-	return inForce{config: answer.Release, object: objects.Object{Value: answer.Value}, provenAt: sent - peer.Age(*answer.ProofAgeMicros)}, true
+	return configState{configVersion: answer.Release, object: objects.Object{Value: answer.Value}, provenAt: sent - peer.Age(*answer.ProofAgeMicros)}, true
 }
 
-// ask asks some VMs and hands over what they say: configurations and when each of them
-// was the newest. One without a value is known already.
+// queryPeers queries some VMs and passes each response to apply: a configuration and when
+// it was the newest. A response without a value confirms a known version.
 //
-// The age counts from the moment at which the question was sent, which is before
-// the one at which the other VM worked it out. So neither the way nor a pause of
-// either VM makes a proof look newer than it is.
-func (p *configPeers) ask(ctx context.Context, known uint64, take func(word inForce)) {
+// The age counts from the time at which the query was sent, which is before the time at
+// which the other VM computed it. So neither network delay nor a pause of either VM makes
+// a proof look newer than it is.
+func (p *configPeers) queryPeers(ctx context.Context, known uint64, apply func(state configState)) {
 	others := p.others()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	others = others[:min(len(others), peersAsked)]
-	words := make(chan *inForce, len(others))
+	others = others[:min(len(others), maxQueriedPeers)]
+	states := make(chan *configState, len(others))
 	for _, vm := range others {
 		go func() {
 			sent := bootclock.Now()
-			answer, err := p.call(ctx, vm, peerTimeout, &configv1.InForceRequest{Known: known})
-			word, ok := said(answer, err, sent)
+			answer, err := p.call(ctx, vm, peerQueryTimeout, &configv1.InForceRequest{Known: known})
+			state, ok := parseInForce(answer, err, sent)
 			if !ok {
-				// The VMs that answer are enough; without one the proof grows old, which
-				// is logged when it is too old.
-				words <- nil
+				// Other responses may suffice. Without any, the proof ages, and its expiry
+				// is logged.
+				states <- nil
 				return
 			}
-			words <- &word
+			states <- &state
 		}()
 	}
 	for range others {
-		if word := <-words; word != nil {
-			take(*word)
+		if state := <-states; state != nil {
+			apply(*state)
 		}
 	}
 }
@@ -147,10 +146,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return inForceAt(ctx, client, url, limit, request)
+	return queryInForce(ctx, client, url, limit, request)
 }
 
-func inForceAt(ctx context.Context, client *http.Client, url string, limit time.Duration, request *configv1.InForceRequest) (*configv1.InForceResponse, error) {
+func queryInForce(ctx context.Context, client *http.Client, url string, limit time.Duration, request *configv1.InForceRequest) (*configv1.InForceResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	answer, err := configv1connect.NewConfigServiceClient(client, url).InForce(ctx, connect.NewRequest(request))
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -27,57 +27,59 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// Source names objects of the store. An empty name means all of a kind.
+// Source selects objects of the platform's object store. An empty Name selects all objects
+// of the kind.
 type Source struct{ Kind, Name string }
 
-// Decoder makes the product's types of the store's values.
+// Decoder decodes the values of stored objects.
 type Decoder interface {
 	Routes(value json.RawMessage) (*routes.Table, error)
 	Server(id string, value json.RawMessage) (backends.Server, error)
 }
 
-// Parts are what a process is made of.
+// Parts are the dependencies and settings of Run.
 type Parts struct {
 	Log       logr.Logger
 	Settings  Settings
 	ReadAgain func() (Settings, error)
 	Store     *objects.Client
-	// Config is the object that holds the configuration, Servers the entries of
-	// backend servers.
+	// Config selects the object with the configuration, Servers the backend server
+	// entries.
 	Config, Servers Source
 	Decode          Decoder
 	Requests        relay.Wire
 	Engines         relay.Engines
-	// HealthPath is what the balancer asks for.
+	// HealthPath is the path of the load balancer's health check.
 	HealthPath string
-	// current is the settings in force.
-	current *current
+	// current holds the settings in force.
+	current *currentSettings
 }
 
 const (
-	// memoryPart is the part of the memory at which the collector works harder.
-	memoryPart = 0.6
-	// collectAt is the growth in per cent at which the collector runs: the heap is
-	// a few MB, and memory costs more here than the processor time.
-	collectAt = 50
-	// fewestVMs divides the slack of repeats at least, and unknownVMs while the number of
-	// VMs isn't known.
-	fewestVMs  = 12
-	unknownVMs = 100
-	// unknownFor is how long VMs take at most to know one another after a start.
-	unknownFor = 3 * time.Second
+	// memoryLimitFraction is the fraction of the process's memory that is set as the
+	// garbage collector's soft memory limit.
+	memoryLimitFraction = 0.6
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection. The
+	// heap is a few MB, and memory is scarcer here than processor time.
+	gcPercent = 50
+	// minBudgetVMs is the lowest number of VMs among which the slack of the retry budget
+	// is divided; startupVMs is the number used while the number of VMs is unknown.
+	minBudgetVMs = 12
+	startupVMs   = 100
+	// startupPeriod is how long VMs take at most to discover one another after a start.
+	startupPeriod = 3 * time.Second
 )
 
-// Run runs the process until ctx ends and its planned stop is over.
+// Run runs the process until ctx ends and the graceful shutdown is complete.
 func Run(ctx context.Context, p Parts) error {
 	s := p.Settings
-	p.current = newCurrent(s)
+	p.current = newCurrentSettings(s)
 	reload := newReloader(p.Log, p.ReadAgain, p.current)
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * s.MemoryMB * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * s.MemoryMB * (1 << 20)))
 	}
-	debug.SetGCPercent(collectAt)
-	retries := budget.New(budget.Options{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow, MinVMs: fewestVMs, StartupVMs: unknownVMs, StartupPeriod: unknownFor, Random: rand.Float64})
+	debug.SetGCPercent(gcPercent)
+	retries := budget.New(budget.Options{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow, MinVMs: minBudgetVMs, StartupVMs: startupVMs, StartupPeriod: startupPeriod, Random: rand.Float64})
 	dispatcher := relay.NewDispatcher(bootclock.Now, retries)
 	dispatcher.WithFleet(func(_ time.Duration, fleet *backends.Fleet) { fleet.SetHeartbeatInterval(s.Signs) })
 	if len(s.Seeds) == 0 {
@@ -90,9 +92,10 @@
 	stop := newStopper(p)
 	handler := relay.New(relay.Options{
 		Log: p.Log, Wire: p.Requests, Engines: p.Engines, Dispatcher: dispatcher,
-		Proven: config.proven, DataCentre: s.DataCentre, StallTimeout: patience,
+		Proven: config.proven, DataCentre: s.DataCentre, StallTimeout: stallTimeout,
 	})
-	// The duties go on through the planned stop, whose end ends the group.
+	// The background tasks keep running during the graceful shutdown; its end stops the
+	// group.
 	var group run.Group
 	actors.AddContext(&group, reload.run)
 	actors.AddContext(&group, handler.RunPaceRefresh)
@@ -100,11 +103,11 @@
 	entries := newServerList(p, dispatcher, handler.ObserveProcess)
 	placer := newPlacer(p, dispatcher, stop.stopping)
 	if s.Peers != "" {
-		talk := newPeers(p, dispatcher, handler)
-		if err := join(&group, talk, p, config, entries, placer); err != nil {
+		network := newPeerNetwork(p, dispatcher, handler)
+		if err := addPeerActors(&group, network, p, config, entries, placer); err != nil {
 			return err
 		}
-		stop.leave = talk.gossip.Leave
+		stop.announceLeave = network.gossip.Leave
 	}
 	actors.AddContext(&group, config.run)
 	actors.AddContext(&group, entries.run)
@@ -119,36 +122,37 @@
 	return err
 }
 
-// dutyEntries names the duty of reading servers' entries.
-const dutyEntries = "entries"
+// roleEntries is the role of watching the backend server entries.
+const roleEntries = "entries"
 
-// join makes the duties that read the platform learn from other VMs, and tell them.
-func join(group *run.Group, talk *peers, p Parts, config *configReader, entries *serverList, placer *placer) error {
-	ask := questions{dialer: talk.dialer}
+// addPeerActors connects the tasks that read the platform to the other VMs, so that they
+// learn from them and answer their queries, and adds the server for peers to the group.
+func addPeerActors(group *run.Group, network *peerNetwork, p Parts, config *configReader, entries *serverList, placer *placer) error {
+	queries := peerQueries{dialer: network.dialer}
 	contacts := slices.DeleteFunc(slices.Clone(p.Settings.Seeds), func(address string) bool { return address == p.Settings.Peers })
 	isContact := len(contacts) < len(p.Settings.Seeds) || len(contacts) == 0
 	config.peers = &configPeers{
-		dialer: talk.dialer, self: talk.self, others: talk.others,
-		ranked: func() []string { return talk.ranked(dutyTally) },
+		dialer: network.dialer, self: network.self, others: network.others,
+		ranked: func() []string { return network.ranked(roleTally) },
 	}
 	if !isContact {
 		config.peers.contacts = contacts
 	}
-	entries.learns = mirror.NewFollower(entries.told, mirror.Options{
-		Kind: p.Servers.Kind, Self: talk.self, Settled: talk.settled, Contacts: contacts, IsContact: isContact, FirstStart: p.Settings.FirstStart,
-		All:  func() []lease.VM { return lease.Rank(dutyEntries, "", talk.everywhere()) },
-		Near: func() []lease.VM { return lease.Rank(dutyEntries, "", talk.candidates()) },
-		Ask:  ask.changes, Now: bootclock.Now,
+	entries.follower = mirror.NewFollower(entries.entryLog, mirror.Options{
+		Kind: p.Servers.Kind, Self: network.self, Settled: network.settled, Contacts: contacts, IsContact: isContact, FirstStart: p.Settings.FirstStart,
+		All:  func() []lease.VM { return lease.Rank(roleEntries, "", network.liveVMs()) },
+		Near: func() []lease.VM { return lease.Rank(roleEntries, "", network.candidates()) },
+		Ask:  queries.changes, Now: bootclock.Now,
 	})
-	talk.tells = entries.learns.Tells
-	placer.candidates, placer.settled, placer.role.QueryHolder = talk.candidates, talk.settled, ask.holding
-	tallies := newTallies(talk, config.keeper)
+	network.reportsDepartures = entries.follower.Tells
+	placer.candidates, placer.settled, placer.role.QueryHolder = network.candidates, network.settled, queries.holding
+	tallies := newTallyExchanger(network, config.proofs)
 	actors.AddContext(group, tallies.run)
-	return talk.add(
+	return network.add(
 		group, p.Settings.Peers,
 		serviceOf(tallyv1connect.NewTallyServiceHandler(tallies)),
-		serviceOf(configv1connect.NewConfigServiceHandler(&configService{keeper: config.keeper})),
-		serviceOf(entriesv1connect.NewEntriesServiceHandler(&mirror.Service{Log: entries.told})),
+		serviceOf(configv1connect.NewConfigServiceHandler(&configService{proofs: config.proofs})),
+		serviceOf(entriesv1connect.NewEntriesServiceHandler(&mirror.Service{Log: entries.entryLog})),
 		serviceOf(rolesv1connect.NewRolesServiceHandler(&rolesService{role: placer.role})),
 	)
 }
--- a/internal/edge/fresh_test.go
+++ b/internal/edge/freshness_test.go
@@ -18,10 +18,10 @@
 	_, _ = io.WriteString(w, "done")
 }
 
-// Symptom: a key that was taken away still opens. Sequence: the store doesn't
-// answer this VM while the operator takes the key away. Cause: the VM believes
-// what it knew, without proof that it is still the newest.
-func TestKeysAreNotTrustedWithoutProof(t *testing.T) {
+// Guards against accepting a revoked key: the store doesn't answer this VM while the
+// operator revokes the key, and the VM relies on a configuration without recent proof that
+// it is the newest.
+func TestKeysAreRejectedWithoutRecentProof(t *testing.T) {
 	r := newRig(t, table(1))
 	r.server("s1", ok)
 	r.Eventually(func() int { return r.status("/plain/a", "r1") }, "5s").Should(Equal(http.StatusOK))
@@ -40,16 +40,16 @@
 	r.Eventually(func() int { return r.status("/plain/a", "r3") }, "3s").Should(Equal(http.StatusOK))
 }
 
-// Symptom: every request with a key is refused as configuration_unproven on a VM
-// that callers reach. Sequence: the platform turns this VM away for longer than a
-// key is trusted; the other VMs go on reading. Cause: nobody else is asked.
-func TestAVMWithoutThePlatformTrustsOthersThatHaveIt(t *testing.T) {
-	store := newMemory()
+// Guards against refusing every request with a key as configuration_unproven on a VM that
+// callers reach: the platform rejects this VM for longer than a key is trusted, while the
+// other VMs still read it and could be queried.
+func TestVMCutOffFromPlatformLearnsConfigurationFromPeers(t *testing.T) {
+	store := newMemoryStore()
 	store.set("config", "main", table(1))
 	first := newVM(t, "vm-1", store, "")
 	first.Eventually(first.ready, "5s").Should(Equal(http.StatusOK))
 	second := newVM(t, "vm-2", store, first.settings.Peers)
-	second.way.cut.Store(true)
+	second.storeConn.cut.Store(true)
 	second.Eventually(second.ready, "5s").Should(Equal(http.StatusOK), "it learns its first configuration from the other VM")
 	second.server("s1", ok)
 	second.Eventually(func() int { return second.status("/plain/a", "r1") }, "5s").Should(Equal(http.StatusOK))
@@ -60,33 +60,33 @@
 	store.set("config", "main", newer)
 	second.Eventually(func() int { return second.status("/plain/a", "r3") }, "4s").Should(Equal(http.StatusUnauthorized))
 
-	// Nobody has the platform now: what the others know grows old for all.
-	first.way.cut.Store(true)
+	// No VM reaches the platform now, so the proofs of all VMs expire.
+	first.storeConn.cut.Store(true)
 	second.Eventually(second.ready, 3*second.settings.KeyTrust).Should(Equal(http.StatusServiceUnavailable))
 }
 
-// Symptom: VMs refuse keys though the platform was away for less time than keys are
-// trusted, or not at all. Sequence: a VM reads the configuration each 1.8 s, another one
-// learns from it each second; what that one knows is up to 2.8 s old. Cause: the age of a
-// proof adds up on its way from VM to VM. Here keys are trusted for 2.6 s and the two
-// paces meet in every way within nine seconds.
-func TestAProofIsAsNewAsThatOfTheVMThatReads(t *testing.T) {
-	store := newMemory()
+// Guards against refusing keys although the platform was unavailable for less time than
+// keys are trusted, or not at all. A VM reads the configuration every 1.8 s and another
+// one learns from it every second, so the age of the second one's proof can add up to 2.8
+// s. Keys are trusted for 2.6 s here, and the two intervals meet in every phase within
+// nine seconds.
+func TestProofAgeDoesNotAddUpOverHops(t *testing.T) {
+	store := newMemoryStore()
 	store.set("config", "main", table(1))
-	slowly := func(s *edge.Settings) { s.ApplyWithin, s.KeyTrust = 4*time.Second, 2600*time.Millisecond }
-	vms := newVMs(t, store, 2, slowly)
+	slowReads := func(s *edge.Settings) { s.ApplyWithin, s.KeyTrust = 4*time.Second, 2600*time.Millisecond }
+	vms := newVMs(t, store, 2, slowReads)
 	vms[0].server("s1", ok)
 	g := NewWithT(t)
 	for _, vm := range vms {
 		g.Eventually(func() int { return vm.status("/plain/a", "r1") }, "5s").Should(Equal(http.StatusOK))
 	}
-	time.Sleep(2 * time.Second) // until the VMs know one another and one of them reads for both
+	time.Sleep(2 * time.Second) // until the VMs have discovered one another and one of them reads for both
 	g.Consistently(func() []int {
 		return []int{vms[0].status("/plain/a", "r2"), vms[1].status("/plain/a", "r2")}
 	}, "9s", "50ms").Should(HaveEach(http.StatusOK))
 }
 
-func TestANewConfigurationIsInForceSoonAndForGood(t *testing.T) {
+func TestNewConfigurationIsAppliedAndNotReverted(t *testing.T) {
 	r := newRig(t, table(5))
 	r.server("s1", ok)
 	r.Eventually(func() int { return r.status("/plain/a", "r1") }, "5s").Should(Equal(http.StatusOK))
@@ -94,14 +94,14 @@
 	newer.Keys = map[string]routes.Account{"other": {Name: "other"}}
 	r.store.set("config", "main", newer)
 	r.Eventually(func() int { return r.status("/plain/a", "r2") }, "2s").Should(Equal(http.StatusUnauthorized))
-	// An older version that the store shows late changes nothing.
+	// An older version that the store returns late is ignored.
 	r.store.set("config", "main", table(5))
 	r.Consistently(func() int { return r.status("/plain/a", "r3") }, "1200ms", "100ms").Should(Equal(http.StatusUnauthorized))
 }
 
-// Symptom: a server gets requests while it stops. Sequence: it says that it
-// leaves, or its entry goes. Cause: the list is read too late or not at all.
-func TestALeavingServerGetsNothingNew(t *testing.T) {
+// Guards against sending requests to a server that is draining or whose entry was removed,
+// because the list is read late or not at all.
+func TestDrainingOrRemovedServerGetsNoRequests(t *testing.T) {
 	r := newRig(t, table(1))
 	first := r.server("s1", ok)
 	r.Eventually(func() int { return r.status("/plain/a", "r1") }, "5s").Should(Equal(http.StatusOK))
@@ -113,10 +113,10 @@
 	r.Eventually(func() int { return r.status("/plain/a", "r4") }, "2s").Should(Equal(http.StatusServiceUnavailable))
 }
 
-// Symptom: after an outage of the store all requests are refused for seconds.
-// Sequence: entries lapse in the outage, since servers can't write either, and
-// are missing from the first list. Cause: what is missing then counts as gone.
-func TestEntriesThatLapsedInAnOutageAreNotGoneAtOnce(t *testing.T) {
+// Guards against refusing all requests for seconds after a store outage: entries expire
+// during the outage, since servers can't write either, and are missing from the first
+// list.
+func TestEntriesExpiredDuringStoreOutageAreKeptBriefly(t *testing.T) {
 	r := newRig(t, table(1))
 	r.server("s1", ok)
 	r.Eventually(func() int { return r.status("/plain/a", "r1") }, "5s").Should(Equal(http.StatusOK))
@@ -128,14 +128,13 @@
 	r.Eventually(func() int { return r.status("/plain/a", "r3") }, "4s").Should(Equal(http.StatusServiceUnavailable))
 }
 
-// Symptom: an outage of the platform costs 3,100 calls in eight seconds. Sequence: the VM
-// that reads for a data centre has no proof any more; all others read by themselves, twice a
-// second. Cause: each of them looks for the platform's return, though one is enough. Five
-// VMs made 33 reads in 4.5 s, 24 with less frequent ones. What they read is in force on
-// all soon after the platform is back.
-func TestFewVMsLookForThePlatformsReturn(t *testing.T) {
+// Guards against 3,100 platform calls in an outage of eight seconds: without a proof every
+// VM of a data centre polled the platform twice a second, though one is enough. Five VMs
+// made 33 reads in 4.5 s that way, and 24 with the longer retry intervals. All VMs must
+// still have the configuration soon after the outage.
+func TestFewVMsPollThePlatformDuringAnOutage(t *testing.T) {
 	g := NewWithT(t)
-	store := newMemory()
+	store := newMemoryStore()
 	store.set("config", "main", table(1))
 	vms := newVMs(t, store, 5)
 	vms[0].server("s1", ok)
@@ -147,12 +146,12 @@
 		g.Eventually(vm.ready, 2*vm.settings.KeyTrust).Should(Equal(http.StatusServiceUnavailable))
 	}
 	for _, vm := range vms {
-		vm.way.reads.Store(0)
+		vm.storeConn.reads.Store(0)
 	}
 	time.Sleep(4500 * time.Millisecond)
 	total := int64(0)
 	for _, vm := range vms {
-		total += vm.way.reads.Load()
+		total += vm.storeConn.reads.Load()
 	}
 	t.Logf("reads while the platform was away: %d", total)
 	g.Expect(total).To(BeNumerically("<", 29))
@@ -162,16 +161,16 @@
 	}
 }
 
-// Symptom: the platform's calls grow with the number of VMs. Cause: each VM reads the
-// configuration. Here one reads for all of a data centre; a change still is in force on
-// all in time, and another VM reads when the reader is gone.
-func TestOneVMReadsTheConfigurationForADataCentre(t *testing.T) {
-	store := newMemory()
+// Guards against platform calls that grow with the number of VMs because each VM reads the
+// configuration. One VM reads for its data centre; a change is still in force on all VMs
+// in time, and another VM takes over when the reader stops.
+func TestOneVMReadsConfigurationPerDataCentre(t *testing.T) {
+	store := newMemoryStore()
 	store.set("config", "main", table(1))
 	vms := newVMs(t, store, 3)
 	reads := func() (total int, reader *rig) {
 		for _, vm := range vms {
-			if n := int(vm.way.reads.Swap(0)); n > 0 {
+			if n := int(vm.storeConn.reads.Swap(0)); n > 0 {
 				total, reader = total+n, vm
 			}
 		}
@@ -188,7 +187,7 @@
 		var total int
 		total, reader = reads()
 		return total <= 3 && reader != nil
-	}, "10s").Should(BeTrue(), "one VM reads twice a second, the others not at all")
+	}, "10s").Should(BeTrue(), "only one VM reads, twice a second")
 
 	vms[0].server("s1", ok)
 	for _, vm := range vms {
@@ -209,12 +208,12 @@
 	}
 }
 
-// Symptom: the platform's calls grow with the number of VMs. Cause: each VM watches the
-// servers' entries. Here two read, the others learn from them, and a departure is known to
-// all when one of the two is gone.
-func TestFewVMsReadEntriesAndAllKnowOfDepartures(t *testing.T) {
+// Guards against platform calls that grow with the number of VMs because each VM watches
+// the server entries. Two VMs watch them and the others learn from these; all learn of a
+// draining server when one of the two has stopped.
+func TestTwoVMsWatchEntriesAndAllLearnDepartures(t *testing.T) {
 	g := NewWithT(t)
-	store := newMemory()
+	store := newMemoryStore()
 	store.set("config", "main", table(1))
 	vms := newVMs(t, store, 5)
 	server := vms[0].server("s1", ok)
@@ -224,12 +223,12 @@
 	var readers []*rig
 	g.Eventually(func() int {
 		for _, vm := range vms {
-			vm.way.watches.Store(0)
+			vm.storeConn.watches.Store(0)
 		}
 		time.Sleep(1100 * time.Millisecond)
 		readers = nil
 		for _, vm := range vms {
-			if vm.way.watches.Load() > 0 {
+			if vm.storeConn.watches.Load() > 0 {
 				readers = append(readers, vm)
 			}
 		}
--- a/internal/edge/interrupt_test.go
+++ b/internal/edge/interrupt_test.go
@@ -10,13 +10,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// Symptom: a process does nothing and isn't started again. Sequence: a duty fails by
-// itself; the group ends the others. Cause: the planned stop goes on waiting for its
-// signal, so the group never returns.
-func TestADutyThatFailsEndsTheProcess(t *testing.T) {
+// Guards against a process that does nothing and isn't restarted: a task fails and the
+// group stops the others, but the graceful shutdown keeps waiting for its signal.
+func TestFailedActorEndsTheProcess(t *testing.T) {
 	g := NewWithT(t)
 	failure := errors.New("listener broke")
-	stop := newStopper(Parts{Log: logr.Discard(), current: newCurrent(Settings{})})
+	stop := newStopper(Parts{Log: logr.Discard(), current: newCurrentSettings(Settings{})})
 	var group run.Group
 	group.Add(func() error { return failure }, func(error) {})
 	group.Add(func() error { return stop.wait(context.Background(), nil) }, stop.interrupt)
--- a/internal/edge/questions.go
+++ b/internal/edge/peerqueries.go
@@ -16,14 +16,15 @@
 	"oleandershunt.example/oleandershunt/internal/role"
 )
 
-// holdingTimeout bounds the question for a role, whose answer takes a millisecond or two.
-const holdingTimeout = 300 * time.Millisecond
+// roleQueryTimeout bounds a query for a role's lease, which is answered within a
+// millisecond or two.
+const roleQueryTimeout = 300 * time.Millisecond
 
-// questions asks other VMs what they know, so that the platform need not be asked.
-type questions struct{ dialer *peer.Dialer }
+// peerQueries queries other VMs for what they know, which saves calls of the platform.
+type peerQueries struct{ dialer *peer.Dialer }
 
-// changes asks a VM, by its name or address, for changes of servers' entries.
-func (q questions) changes(ctx context.Context, vm string, request *entriesv1.ChangesRequest) (*entriesv1.ChangesResponse, error) {
+// changes queries a VM, by its name or address, for changes of backend server entries.
+func (q peerQueries) changes(ctx context.Context, vm string, request *entriesv1.ChangesRequest) (*entriesv1.ChangesResponse, error) {
 	client, url, err := q.dialer.Endpoint(vm)
 	if err != nil {
 		client, url = q.dialer.Seed(vm)
@@ -35,14 +36,15 @@
 	return answer.Msg, nil
 }
 
-// holding asks a VM for the version of the lease of a role that it holds. It returns
-// false when the VM doesn't say that it holds it; the platform is asked then.
-func (q questions) holding(ctx context.Context, name string, holder lease.VM) (history.Version, bool) {
+// holding queries a VM for the version of the lease of a role that it holds. It returns
+// false when the VM doesn't confirm that it holds the role; the caller then reads the
+// platform.
+func (q peerQueries) holding(ctx context.Context, name string, holder lease.VM) (history.Version, bool) {
 	client, url, err := q.dialer.Endpoint(holder.Name)
 	if err != nil {
 		return 0, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, holdingTimeout)
+	ctx, cancel := context.WithTimeout(ctx, roleQueryTimeout)
 	defer cancel()
 	answer, err := rolesv1connect.NewRolesServiceClient(client, url).Holding(ctx, connect.NewRequest(&rolesv1.HoldingRequest{Role: name}))
 	if err != nil {
@@ -51,7 +53,7 @@
 	return history.Version(answer.Msg.Version), answer.Msg.Held
 }
 
-// rolesService tells other VMs of the role that this one may hold.
+// rolesService answers other VMs' queries for the role that this VM may hold.
 type rolesService struct {
 	rolesv1connect.UnimplementedRolesServiceHandler
 	role *role.Role
--- a/internal/edge/peers.go
+++ b/internal/edge/peers.go
@@ -22,35 +22,36 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// The talk between VMs.
+// Intervals of the communication between VMs.
 const (
-	// deployment names the VMs that talk to one another. A platform runs one.
+	// deployment is the name that all VMs of a gossip cluster share. A platform runs one.
 	deployment = "forward"
-	// talkEvery is the time between two rounds of the talk.
-	talkEvery = 150 * time.Millisecond
-	// tellEvery is the time between two words of news. The others know it after two or
-	// three rounds.
-	tellEvery = 300 * time.Millisecond
-	// tellPerVM makes that time longer with each VM beyond tellFew for words on slow
-	// servers, which many VMs have at once, so that a VM hears no more than about 30 of
-	// them a second, whatever the number of VMs. Other news has few VMs that tell it.
+	// gossipInterval is the time between two gossip rounds.
+	gossipInterval = 150 * time.Millisecond
+	// reportInterval is the time between two reports of a VM. They reach the other VMs
+	// after two or three gossip rounds.
+	reportInterval = 300 * time.Millisecond
+	// reportIntervalPerVM extends the interval of reports about slow servers for each VM
+	// beyond reportIntervalVMs. Many VMs report slow servers at the same time; with the
+	// longer interval a VM receives no more than about 30 of these reports a second,
+	// whatever the number of VMs. Other reports come from few VMs.
 	//
-	// What can go wrong: words cost those who hear them, and events that pass through a
-	// small VM come late though each server keeps pace.
-	tellPerVM = 60 * time.Millisecond
-	tellFew   = 9
-	// keyWord is the entry that each VM writes.
-	keyWord = "word"
-	// settleWithin is how long VMs that start together need to get to know one another:
-	// some rounds of the talk. settleFirst is the same at the first start of all VMs, when
-	// callers come many seconds later.
-	settleWithin = time.Second
-	settleFirst  = 2 * time.Second
+	// Handling a report costs processor time: with too many of them, events that pass
+	// through a small VM are late although every server keeps its pace.
+	reportIntervalPerVM = 60 * time.Millisecond
+	reportIntervalVMs   = 9
+	// reportKey is the gossip key under which each VM publishes its report.
+	reportKey = "word"
+	// membershipSettleTime is how long VMs that start together need to discover one
+	// another: several gossip rounds. firstStartSettleTime is the same for the first start
+	// of all VMs, when callers come many seconds later.
+	membershipSettleTime = time.Second
+	firstStartSettleTime = 2 * time.Second
 )
 
-// peers is the talk with the other VMs: who lives, and news of servers and of bodies that
-// may crash them.
-type peers struct {
+// peerNetwork is the communication with the other VMs: membership, and reports on servers
+// and on request bodies that may crash them.
+type peerNetwork struct {
 	log        logr.Logger
 	self       string
 	dispatcher *relay.Dispatcher
@@ -60,75 +61,79 @@
 	dialer     *peer.Dialer
 	handler    *relay.Handler
 	dataCentre string
-	// begun is when the talk began, and first says that all VMs start.
-	begun time.Duration
-	first bool
-	// tells tells whether departures that this VM knows of are news to others.
-	tells func() bool
-	// telling is held while a word is made. count counts the words.
-	telling sync.Mutex
-	count   uint64
-	// saidNothing says that the last word had no news. pacesTold is when slow servers were
-	// told last.
-	saidNothing bool
-	pacesTold   time.Duration
-	// recent are the findings of the last words, which are told again.
-	recent [][]relay.Finding
+	// startedAt is when the communication started; firstStart is set when all VMs start
+	// for the first time.
+	startedAt  time.Duration
+	firstStart bool
+	// reportsDepartures reports whether this VM publishes the departures of servers that
+	// it knows of.
+	reportsDepartures func() bool
+	// reportMu is held while a report is made. sequence numbers the reports.
+	reportMu sync.Mutex
+	sequence uint64
+	// lastReportEmpty is set when the last report was empty. pacesReportedAt is when slow
+	// servers were last reported.
+	lastReportEmpty bool
+	pacesReportedAt time.Duration
+	// recentFindings are the findings of the last reports, which are repeated.
+	recentFindings [][]relay.Finding
 
 	mu sync.Mutex
-	// found are the servers that don't answer, by this VM's findings, and leaving
-	// those that leave, with the number of words in which each is still told.
-	found   map[string]int
-	leaving map[backends.Departure]int
+	// unresponsive are the unresponsive servers that this VM found, and departures the
+	// departures of servers, each with the number of reports that still repeat it.
+	unresponsive map[string]int
+	departures   map[backends.Departure]int
 }
 
-// word is what a VM tells. Count makes each one new: an old one says nothing of
-// what happened since.
-type word struct {
-	Count uint64 `json:"n"`
-	// Lost are the servers that others wait for in vain.
-	Lost []string `json:"x,omitempty"`
-	// Left are the servers that leave, or whose entries are gone.
-	Left []backends.Departure `json:"g,omitempty"`
-	// Slow are the paces that this VM was told of servers that are slow or were.
-	Slow map[string]float64 `json:"p,omitempty"`
-	// Findings are what is held against bodies that may crash servers.
+// peerReport is what a VM publishes by gossip. The sequence number makes each report a new
+// value: an old one says nothing about what happened since.
+type peerReport struct {
+	Sequence uint64 `json:"n"`
+	// Unresponsive are the servers that don't answer.
+	Unresponsive []string `json:"x,omitempty"`
+	// Departures are the servers that are draining or whose entries were removed.
+	Departures []backends.Departure `json:"g,omitempty"`
+	// Paces are the paces of servers that are slow or were slow, as this VM knows them
+	// from the servers.
+	Paces map[string]float64 `json:"p,omitempty"`
+	// Findings are the findings on request bodies that may crash servers.
 	Findings []relay.Finding `json:"c,omitempty"`
 }
 
-// newPeers makes the talk with other VMs, which is not begun yet.
-func newPeers(p Parts, d *relay.Dispatcher, handler *relay.Handler) *peers {
+// newPeerNetwork creates the communication with other VMs without starting it.
+func newPeerNetwork(p Parts, d *relay.Dispatcher, handler *relay.Handler) *peerNetwork {
 	s := p.Settings
-	// A later process of the VM has a higher incarnation. Should the time of day
-	// have been set back, the gossip finds out and raises it.
+	// A later process of the VM has a higher incarnation. If the wall clock was set back,
+	// the gossip detects that and raises it.
 	incarnation := uint64(time.Now().UnixMicro())
 	identity := peer.Identity{Name: s.VM, Deployment: deployment}
 	directory := peer.NewDirectory()
-	talk := &peers{
+	network := &peerNetwork{
 		log: p.Log, self: s.VM, dataCentre: s.DataCentre, dispatcher: d, handler: handler, directory: directory,
-		begun: bootclock.Now(), first: s.FirstStart, tells: func() bool { return true },
-		found: make(map[string]int), leaving: make(map[backends.Departure]int),
+		startedAt: bootclock.Now(), firstStart: s.FirstStart, reportsDepartures: func() bool { return true },
+		unresponsive: make(map[string]int), departures: make(map[backends.Departure]int),
 	}
-	talk.identity, talk.dialer = identity, peer.NewDialer(directory, identity, nil)
-	talk.gossip = gossip.New(gossip.Options{
+	network.identity, network.dialer = identity, peer.NewDialer(directory, identity, nil)
+	network.gossip = gossip.New(gossip.Options{
 		Self: peer.Member{
 			Name: s.VM, DataCentre: s.DataCentre, Deployment: deployment, Address: s.Peers,
 			Incarnation: fmt.Sprintf("%016x", incarnation), Cores: s.Cores,
 		},
 		Incarnation: incarnation, Directory: directory,
-		Dialer:   talk.dialer,
-		Interval: talkEvery,
+		Dialer:   network.dialer,
+		Interval: gossipInterval,
 		Contacts: func() []string { return s.Seeds },
 		Now:      bootclock.Now,
 		Seed:     incarnation,
 	})
-	handler.OnUnresponsive = talk.lost
-	talk.gossip.OnEntry(keyWord, talk.heard)
-	return talk
+	handler.OnUnresponsive = network.reportUnresponsive
+	network.gossip.OnEntry(reportKey, network.receiveReport)
+	return network
 }
 
-// add adds the server for other VMs, with their questions' services, and the talk.
-func (t *peers) add(group *run.Group, address string, services ...service) error {
+// add adds the server for other VMs with the given services, the gossip and the reports to
+// the group.
+func (t *peerNetwork) add(group *run.Group, address string, services ...service) error {
 	server := peer.NewServer(t.identity, nil, func(from, address string, err error) {
 		telemetry.PeerRefused.Fail(t.log, err, "from", from, "address", address)
 	})
@@ -147,7 +152,7 @@
 	return nil
 }
 
-// service is what answers other VMs' questions of a kind.
+// service is an RPC service for other VMs.
 type service struct {
 	path    string
 	handler http.Handler
@@ -155,33 +160,33 @@
 
 func serviceOf(path string, handler http.Handler) service { return service{path, handler} }
 
-// settled tells whether the VMs had time to get to know one another.
-func (t *peers) settled() bool {
-	within := settleWithin
-	if t.first {
-		within = settleFirst
+// settled reports whether the VMs had time to discover one another.
+func (t *peerNetwork) settled() bool {
+	within := membershipSettleTime
+	if t.firstStart {
+		within = firstStartSettleTime
 	}
-	return bootclock.Now()-t.begun >= within
+	return bootclock.Now()-t.startedAt >= within
 }
 
-// ranked lists the VMs of this data centre that may take a duty, this one included, in
-// the order in which they do. VMs that know the same ones have the same order.
-func (t *peers) ranked(duty string) []string {
+// ranked lists the VMs of this data centre that may take a role, this one included, in the
+// order of their rank. VMs with the same view of the live VMs compute the same order.
+func (t *peerNetwork) ranked(role string) []string {
 	var names []string
-	for _, vm := range lease.Rank(duty, t.dataCentre, t.candidates()) {
+	for _, vm := range lease.Rank(role, t.dataCentre, t.candidates()) {
 		names = append(names, vm.Name)
 	}
 	return names
 }
 
-// candidates lists the VMs of this data centre that live and don't stop, this one
+// candidates lists the live VMs of this data centre that are not stopping, this one
 // included.
-func (t *peers) candidates() []lease.VM {
-	return slices.DeleteFunc(t.everywhere(), func(vm lease.VM) bool { return vm.DataCentre != t.dataCentre })
+func (t *peerNetwork) candidates() []lease.VM {
+	return slices.DeleteFunc(t.liveVMs(), func(vm lease.VM) bool { return vm.DataCentre != t.dataCentre })
 }
 
-// everywhere lists the VMs of all data centres that live and don't stop.
-func (t *peers) everywhere() []lease.VM {
+// liveVMs lists the live VMs of all data centres that are not stopping.
+func (t *peerNetwork) liveVMs() []lease.VM {
 	var vms []lease.VM
 	for dataCentre, names := range t.gossip.LiveVMs() {
 		for _, name := range names {
@@ -193,8 +198,8 @@
 	return vms
 }
 
-// others lists the other VMs that live or may live, of all data centres.
-func (t *peers) others() []string {
+// others lists the other VMs of all data centres that are live or may be.
+func (t *peerNetwork) others() []string {
 	var others []string
 	for _, names := range t.gossip.LiveVMs() {
 		others = append(others, names...)
@@ -202,125 +207,129 @@
 	return slices.DeleteFunc(others, func(name string) bool { return name == t.self })
 }
 
-// run tells what this VM does.
-func (t *peers) run(ctx context.Context) error {
+// run publishes this VM's reports.
+func (t *peerNetwork) run(ctx context.Context) error {
 	for {
 		select {
-		case <-time.After(tellEvery):
-			t.tell()
+		case <-time.After(reportInterval):
+			t.publishReport()
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// paceFor is the time between two words on slow servers of each of so many VMs.
-func paceFor(vms int) time.Duration {
-	return tellEvery + time.Duration(max(vms-tellFew, 0))*tellPerVM
+// paceReportInterval returns the time between two reports on slow servers by one VM, for a
+// number of VMs.
+func paceReportInterval(vms int) time.Duration {
+	return reportInterval + time.Duration(max(vms-reportIntervalVMs, 0))*reportIntervalPerVM
 }
 
-func (t *peers) tell() {
-	t.telling.Lock()
-	defer t.telling.Unlock()
-	t.count++
-	now := word{Count: t.count}
-	var news []backends.Departure
-	pace := paceFor(len(t.others()) + 1)
+func (t *peerNetwork) publishReport() {
+	t.reportMu.Lock()
+	defer t.reportMu.Unlock()
+	t.sequence++
+	report := peerReport{Sequence: t.sequence}
+	var departures []backends.Departure
+	pace := paceReportInterval(len(t.others()) + 1)
 	t.dispatcher.WithFleet(func(at time.Duration, fleet *backends.Fleet) {
-		news = fleet.TakeDepartures()
-		if at >= t.pacesTold+pace {
-			t.pacesTold, now.Slow = at, fleet.PacesToPublish(at, 2*pace)
+		departures = fleet.TakeDepartures()
+		if at >= t.pacesReportedAt+pace {
+			t.pacesReportedAt, report.Paces = at, fleet.PacesToPublish(at, 2*pace)
 		}
 	})
-	if !t.tells() {
-		news = nil // what this VM knows from a reader, the reader tells
+	if !t.reportsDepartures() {
+		departures = nil // the VM that watches the entries reports them
 	}
-	now.Lost, now.Left = t.stillTold(news)
-	now.Findings = t.findings()
-	empty := len(now.Lost)+len(now.Left)+len(now.Findings)+len(now.Slow) == 0
-	if empty && t.saidNothing {
+	report.Unresponsive, report.Departures = t.takePending(departures)
+	report.Findings = t.pendingFindings()
+	empty := len(report.Unresponsive)+len(report.Departures)+len(report.Findings)+len(report.Paces) == 0
+	if empty && t.lastReportEmpty {
 		return
 	}
-	// The word stays where it was heard, and a VM that starts hears it as new. So one
-	// without news follows, or servers would count as lost again.
-	t.saidNothing = empty
-	value, err := json.Marshal(now)
+	// Gossip keeps the last report, and a VM that starts receives it as new. Therefore an
+	// empty report follows, or the servers in the old one would count as unresponsive
+	// again.
+	t.lastReportEmpty = empty
+	value, err := json.Marshal(report)
 	if err != nil {
-		panic(err) // counts always encode
+		panic(err) // a peerReport can always be encoded
 	}
-	t.gossip.Put(keyWord, value, len(now.Lost)+len(now.Left)+len(now.Findings) > 0)
+	t.gossip.Put(reportKey, value, len(report.Unresponsive)+len(report.Departures)+len(report.Findings) > 0)
 }
 
-// findings lists what this word tells of bodies that may crash servers: all that is
-// new, and what the last words told.
-func (t *peers) findings() []relay.Finding {
+// pendingFindings lists the findings for the next report: all new ones and those of the
+// last reports.
+func (t *peerNetwork) pendingFindings() []relay.Finding {
 	fresh := t.handler.TakeFindings()
-	t.recent = append(t.recent, fresh)
-	if len(t.recent) > toldTimes {
-		t.recent = t.recent[1:]
+	t.recentFindings = append(t.recentFindings, fresh)
+	if len(t.recentFindings) > reportRepeats {
+		t.recentFindings = t.recentFindings[1:]
 	}
 	var list []relay.Finding
-	for _, findings := range t.recent {
+	for _, findings := range t.recentFindings {
 		list = append(list, findings...)
 	}
 	return list
 }
 
-// toldTimes is in how many words a lost server is told.
-const toldTimes = 3
+// reportRepeats is the number of reports that repeat an unresponsive or departed server,
+// or a finding.
+const reportRepeats = 3
 
-// lost tells the others at once of a server that doesn't answer.
-func (t *peers) lost(id string) {
+// reportUnresponsive publishes at once that a server doesn't answer.
+func (t *peerNetwork) reportUnresponsive(id string) {
 	t.mu.Lock()
-	_, known := t.found[id]
-	t.found[id] = toldTimes
+	_, known := t.unresponsive[id]
+	t.unresponsive[id] = reportRepeats
 	t.mu.Unlock()
 	if !known {
-		t.tell()
+		t.publishReport()
 	}
 }
 
-// stillTold lists what this word tells of lost and of leaving servers. Both are told
-// several times, since a VM may miss a word.
-func (t *peers) stillTold(news []backends.Departure) (lost []string, left []backends.Departure) {
+// takePending lists the unresponsive and the departed servers for the next report. Both
+// are repeated in several reports because a VM may miss one.
+func (t *peerNetwork) takePending(departures []backends.Departure) (unresponsive []string, departed []backends.Departure) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, gone := range news {
-		t.leaving[gone] = toldTimes
+	for _, departure := range departures {
+		t.departures[departure] = reportRepeats
 	}
-	return tellOnce(t.found), tellOnce(t.leaving)
+	return takeOnce(t.unresponsive), takeOnce(t.departures)
 }
 
-// tellOnce lists what is told, and drops what has been told often enough.
-func tellOnce[K comparable](told map[K]int) []K {
+// takeOnce lists the items for one report, and drops those that were repeated often
+// enough.
+func takeOnce[K comparable](remaining map[K]int) []K {
 	var list []K
-	for what := range told {
-		list = append(list, what)
-		if told[what]--; told[what] <= 0 {
-			delete(told, what)
+	for item := range remaining {
+		list = append(list, item)
+		if remaining[item]--; remaining[item] <= 0 {
+			delete(remaining, item)
 		}
 	}
 	return list
 }
 
-func (t *peers) heard(entry gossip.Entry) {
-	var now word
-	if err := json.Unmarshal(entry.Value, &now); err != nil {
+func (t *peerNetwork) receiveReport(entry gossip.Entry) {
+	var report peerReport
+	if err := json.Unmarshal(entry.Value, &report); err != nil {
 		telemetry.PeerUnread.Fail(t.log, err, "vm", entry.VM)
 		return
 	}
-	for _, finding := range now.Findings {
+	for _, finding := range report.Findings {
 		t.handler.ReceiveFinding(finding)
 	}
-	for _, id := range now.Lost {
+	for _, id := range report.Unresponsive {
 		t.handler.MarkUnresponsive(id, true)
 	}
 	t.dispatcher.WithFleet(func(at time.Duration, fleet *backends.Fleet) {
-		for id, pace := range now.Slow {
+		for id, pace := range report.Paces {
 			fleet.SetRemotePace(at, id, pace)
 		}
-		for _, gone := range now.Left {
-			fleet.ApplyDeparture(at, gone)
+		for _, departure := range report.Departures {
+			fleet.ApplyDeparture(at, departure)
 		}
 	})
 }
--- a/internal/edge/placer.go
+++ b/internal/edge/placer.go
@@ -21,11 +21,11 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// kindRole is the store's kind of the roles that one VM holds at a time.
+// kindRole is the object kind of the roles that one VM holds at a time.
 const kindRole = "oleandershunt-roles"
 
-// roleTimes are the times of the role that orders layers. A VM that stops gives it
-// up, so the lease is waited out only after a VM was lost.
+// roleTimes are the times of the placement role. A VM that stops releases the role, so the
+// other VMs wait for the lease to expire only after a VM was lost.
 var roleTimes = role.Times{
 	Lease:                   3 * time.Second,
 	Interval:                1500 * time.Millisecond,
@@ -34,92 +34,95 @@
 	RetryInterval:           500 * time.Millisecond,
 }
 
-// roleCandidates is the number of VMs of a data centre that look often whether the
-// role is free.
+// roleCandidates is the number of VMs of a data centre that check often whether the role
+// is free.
 const roleCandidates = 2
 
-// The pace of placement.
+// Times of the placement.
 const (
-	placeEvery = 200 * time.Millisecond
-	// settled is how long no server may have come before the first layout: all
-	// servers of a deployment that starts register within seconds, and a layout
-	// made for the first of them would be moved again.
-	settled = 1200 * time.Millisecond
-	// lostGrace is how long the layout keeps the place of a server whose entry went:
-	// one that crashed is back by then, or stays away.
-	lostGrace = 2500 * time.Millisecond
-	// orderTimeout bounds the calls of an order.
+	placementInterval = 200 * time.Millisecond
+	// layoutSettleTime is how long no new server must have registered before the first
+	// layout. All servers of a deployment that starts register within seconds, and a
+	// layout made for the first ones would have to be moved again.
+	layoutSettleTime = 1200 * time.Millisecond
+	// lostServerGrace is how long the layout keeps the place of a server whose entry was
+	// removed: a crashed server is back by then, or does not return.
+	lostServerGrace = 2500 * time.Millisecond
+	// orderTimeout bounds the calls of a placement order.
 	orderTimeout = time.Second
-	// orderLost is when an order that did not show is decided anew.
-	orderLost = 3 * time.Second
-	// refusedFor is how long a server is left alone at first that did not take an order,
-	// and refusedMost how long at most; it doubles with each failure in a row. Restarted
-	// servers and cut ways are back within seconds.
-	refusedFor  = 400 * time.Millisecond
-	refusedMost = 3200 * time.Millisecond
+	// orderExpiry is the time, beyond four load times, after which an order that doesn't
+	// show in the server's entry is decided again.
+	orderExpiry = 3 * time.Second
+	// minRefusalBackoff is the first delay before a server that refused an order gets
+	// another one. The delay doubles with each consecutive failure, up to
+	// maxRefusalBackoff. Restarted servers and broken connections are back within seconds.
+	minRefusalBackoff = 400 * time.Millisecond
+	maxRefusalBackoff = 3200 * time.Millisecond
 )
 
-// errBusy marks a server that carries out an order. It would refuse another one.
-var errBusy = eris.New("server carries out another order: decide again when that shows")
+// errBusy marks a server that is executing an order and would refuse another one.
+var errBusy = eris.New("server is executing another placement order: retry when its entry shows the result")
 
-// errRestarted marks a server that started again since its entry was read.
+// errRestarted marks a server that restarted since its entry was read.
 //
-// What can go wrong: a server starts again under its name and counts its orders from
-// 0, as before. An order for what it held in its former life fits the count, and takes
-// layers that it doesn't have, or gives up the last copy that it just loaded.
-var errRestarted = eris.New("server started again: decide again by its new entry")
+// A restarted server keeps its name and counts its orders from 0 again. An order for the
+// layers that the previous process held would match the count, and make the server take
+// layers that it lacks or drop the last copy that it just loaded.
+var errRestarted = eris.New("server restarted after its entry was read: retry with the new entry")
 
-// errHeld marks an order for what its server holds already by its report, which may be older than
-// an order that it has just taken.
-var errHeld = eris.New("server holds the layers already: decide again when its entry shows them")
+// errAlreadyHeld marks an order for layers that the server's report, which may be older
+// than an order that it has just accepted, already shows.
+var errAlreadyHeld = eris.New("server already holds the ordered layers: retry when its entry shows them")
 
-// placer orders the layers of its data centre's servers while it holds the role.
+// placer orders the layers of its data centre's servers while it holds the placement role.
 type placer struct {
 	parts      Parts
 	log        logr.Logger
 	dispatcher *relay.Dispatcher
 	signals    *relay.Signals
 	role       *role.Role
-	holding    bool
+	holdsRole  bool
 	stopping   func() bool
 	// candidates lists the VMs of the data centre that may hold the role, this one
 	// included.
 	candidates func() []lease.VM
-	// settled tells whether the VMs had time to get to know one another since the start;
-	// nil without others.
+	// settled reports whether the VMs had time to discover one another since the start;
+	// nil without other VMs.
 	settled func() bool
 	// pending are the orders that don't show in the entries yet.
 	pending map[string]pendingOrder
-	// refusals are the servers that did not take their last order, and failed brings
-	// word of them.
-	refusals map[string]refusedOrder
-	failed   chan string
-	// count and changed are the number of servers and since when it is so.
-	count   int
-	changed time.Duration
-	// begun says that requests have come since the start.
-	begun bool
-	// last are the servers of the last look, by service, and lost those that went
-	// since, by ID.
-	last map[string][]spread.Server
-	lost map[string]lostServer
+	// refusals are the servers that refused their last order. failures passes their IDs
+	// from the calls to the placement loop.
+	refusals map[string]refusal
+	failures chan string
+	// serverCount is the number of servers, and serverCountSince when it last changed.
+	serverCount      int
+	serverCountSince time.Duration
+	// requestsSeen is set once requests have arrived since the start.
+	requestsSeen bool
+	// lastServers are the servers at the last check, by service, and lostServers those
+	// that were removed since, by ID.
+	lastServers map[string][]spread.Server
+	lostServers map[string]lostServer
 }
 
 type lostServer struct {
-	server  spread.Server
-	service string
-	until   time.Duration
+	server    spread.Server
+	service   string
+	expiresAt time.Duration
 }
 
-// refusedOrder is a server that did not take its last order. It gets none until then.
-type refusedOrder struct {
-	span, until time.Duration
+// refusal is the backoff of a server that refused its last order. It gets no order before
+// until.
+type refusal struct {
+	backoff, until time.Duration
 }
 
 type pendingOrder struct {
 	layers api.Layers
-	// loaded is when the load should be over, and until when the order is given up.
-	loaded, until time.Duration
+	// loadedAt is when the load should be complete, and expiresAt when the order is given
+	// up.
+	loadedAt, expiresAt time.Duration
 }
 
 func newPlacer(p Parts, d *relay.Dispatcher, stopping func() bool) *placer {
@@ -131,30 +134,30 @@
 			Store: p.Store, Kind: kindRole, Name: "layers-" + p.Settings.DataCentre, Self: self,
 			Times: roleTimes, Candidates: roleCandidates, Now: bootclock.Now,
 		}),
-		pending:  make(map[string]pendingOrder),
-		refusals: make(map[string]refusedOrder),
-		failed:   make(chan string, failedKept),
-		last:     make(map[string][]spread.Server),
-		lost:     make(map[string]lostServer),
+		pending:     make(map[string]pendingOrder),
+		refusals:    make(map[string]refusal),
+		failures:    make(chan string, failureQueueSize),
+		lastServers: make(map[string][]spread.Server),
+		lostServers: make(map[string]lostServer),
 	}
 }
 
 func (p *placer) run(ctx context.Context) error {
-	await(ctx, p.settled)
-	ticker := time.NewTicker(placeEvery)
+	waitSettled(ctx, p.settled)
+	ticker := time.NewTicker(placementInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			// A VM that stops gives the role up: the next holder need not wait for the
-			// end of a process that is leaving.
+			// A stopping VM releases the role, so that the next holder need not wait for
+			// this process to end.
 			if p.stopping() {
 				p.role.Release(ctx)
 			} else {
 				p.role.Step(ctx, p.candidates())
 			}
-			p.tell()
-			if p.holding {
+			p.logRoleChange()
+			if p.holdsRole {
 				p.place(ctx)
 			}
 		case <-ctx.Done():
@@ -163,75 +166,77 @@
 	}
 }
 
-// awaitStep is the time between two looks whether the VMs know one another.
-const awaitStep = 20 * time.Millisecond
+// settlePollInterval is the interval at which waitSettled checks the membership.
+const settlePollInterval = 20 * time.Millisecond
 
-// await returns when settled says so, or ctx ends.
-func await(ctx context.Context, settled func() bool) {
+// waitSettled returns when settled returns true, or when ctx ends.
+func waitSettled(ctx context.Context, settled func() bool) {
 	for settled != nil && !settled() && ctx.Err() == nil {
 		select {
-		case <-time.After(awaitStep):
+		case <-time.After(settlePollInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (p *placer) tell() {
+func (p *placer) logRoleChange() {
 	held := p.role.Held()
 	switch {
-	case held && !p.holding:
+	case held && !p.holdsRole:
 		telemetry.PlacerHeld.Log(p.log, "role", p.role.Name)
-	case !held && p.holding:
+	case !held && p.holdsRole:
 		telemetry.PlacerLost.Log(p.log, "role", p.role.Name)
 	}
-	p.holding = held
+	p.holdsRole = held
 }
 
-// failedKept bounds the failures between two looks; what is beyond waits for orderLost.
-const failedKept = 256
+// failureQueueSize bounds the failures between two checks; orders beyond it are decided
+// again after orderExpiry.
+const failureQueueSize = 256
 
-// takeFailures has the servers that did not take their orders decided anew.
+// processFailures drops the pending orders that failed, so that they are decided again
+// after a backoff.
 //
-// What can go wrong: a server starts again behind a cut; its entry comes when the way
-// there is not yet back, and the order's call fails. If the order still counted as given,
-// nobody would give another one for the time of four loads: 15 s in which the server
-// stood empty and half of its data centre's requests were refused.
-func (p *placer) takeFailures() {
+// A server that restarts behind a network partition may be listed before its connections
+// work again, and the call of its order fails. If the order still counted as pending, no
+// other one would be sent for the time of four loads: for 15 s the server held nothing,
+// and half of its data centre's requests were refused.
+func (p *placer) processFailures() {
 	now := bootclock.Now()
 	for {
 		select {
-		case id := <-p.failed:
-			span := min(max(2*p.refusals[id].span, refusedFor), refusedMost)
-			p.refusals[id] = refusedOrder{span: span, until: now + span}
+		case id := <-p.failures:
+			backoff := min(max(2*p.refusals[id].backoff, minRefusalBackoff), maxRefusalBackoff)
+			p.refusals[id] = refusal{backoff: backoff, until: now + backoff}
 			delete(p.pending, id)
 		default:
-			maps.DeleteFunc(p.refusals, func(_ string, r refusedOrder) bool { return now > r.until+refusedMost })
+			maps.DeleteFunc(p.refusals, func(_ string, r refusal) bool { return now > r.until+maxRefusalBackoff })
 			return
 		}
 	}
 }
 
 func (p *placer) place(ctx context.Context) {
-	p.takeFailures()
+	p.processFailures()
 	table := p.dispatcher.Table()
 	if table == nil {
 		return
 	}
 	for _, service := range table.ModelServices() {
 		servers, listed, loads := p.servers(service)
-		if !p.ready(servers) {
+		if !p.canPlan(servers) {
 			continue
 		}
 		planned := p.withLost(service, servers)
 		for _, order := range loads.Admit(service.Engine, planned, spread.Plan(service.Engine, planned)) {
-			p.order(ctx, service, listed[order.Server], order)
+			p.startOrder(ctx, service, listed[order.Server], order)
 		}
 	}
 }
 
-// servers are the data centre's, each with what it holds and was ordered to, and the loads
-// that may run there. Servers that others wait for in vain are left out, seconds before the
-// platform misses them.
+// servers lists the data centre's servers, each with the layers that it holds and those
+// that it was ordered to load, and the limit of loads there. Unresponsive servers are left
+// out, seconds before their entries expire on the platform.
 func (p *placer) servers(service routes.Service) ([]spread.Server, map[string]backends.Server, spread.LoadLimit) {
 	var listed []backends.Server
 	paces, used := make(map[string]float64), make(map[string]float64)
@@ -248,33 +253,33 @@
 		if s.DataCentre != p.parts.Settings.DataCentre {
 			continue
 		}
-		server := spread.Server{ID: s.ID, Card: service.Engine.Cards[s.Card], Slots: s.Slots, Held: span(s.LayerRanges), Slowdown: paces[s.ID], Utilization: used[s.ID]}
-		if order, ok := p.pending[s.ID]; ok && (server.Held == order.layers || now > order.until) {
+		server := spread.Server{ID: s.ID, Card: service.Engine.Cards[s.Card], Slots: s.Slots, Held: layerSpan(s.LayerRanges), Slowdown: paces[s.ID], Utilization: used[s.ID]}
+		if order, ok := p.pending[s.ID]; ok && (server.Held == order.layers || now > order.expiresAt) {
 			delete(p.pending, s.ID)
 			delete(p.refusals, s.ID)
 		} else if ok {
-			server.Target, server.Loading, server.LoadRemaining = order.layers, true, order.loaded-now
+			server.Target, server.Loading, server.LoadRemaining = order.layers, true, order.loadedAt-now
 		} else if now < p.refusals[s.ID].until {
 			if server.Held.Len() == 0 {
 				continue
 			}
-			// It holds what it holds, and can't be moved.
+			// It keeps its layers and can't be moved.
 			server.Target, server.Loading = server.Held, true
 		}
 		servers = append(servers, server)
 		byID[s.ID] = s
 	}
-	return servers, byID, p.loads(service.Engine, listed)
+	return servers, byID, p.loadLimit(service.Engine, listed)
 }
 
-// loads are those that may run in this data centre beside those of the others. A server
-// elsewhere that holds nothing counts as loading. Until requests come, nothing is bounded:
-// what is loaded by then is ready sooner for all.
-func (p *placer) loads(engine *routes.Engine, listed []backends.Server) spread.LoadLimit {
+// loadLimit returns the limit of concurrent loads in this data centre, given the servers
+// of the others. A server elsewhere that holds nothing counts as loading. Before the first
+// requests arrive there is no limit: what is loaded by then becomes ready sooner.
+func (p *placer) loadLimit(engine *routes.Engine, listed []backends.Server) spread.LoadLimit {
 	if engine.LoadsAtOnce == 0 {
 		return spread.LoadLimit{}
 	}
-	if p.begun = p.begun || p.dispatcher.HasRecentRequests(); !p.begun {
+	if p.requestsSeen = p.requestsSeen || p.dispatcher.HasRecentRequests(); !p.requestsSeen {
 		return spread.LoadLimit{}
 	}
 	own, empty := p.parts.Settings.DataCentre, 0
@@ -285,7 +290,7 @@
 			continue
 		}
 		places = append(places, s.DataCentre)
-		server := spread.Server{ID: s.ID, Held: span(s.LayerRanges)}
+		server := spread.Server{ID: s.ID, Held: layerSpan(s.LayerRanges)}
 		elsewhere = append(elsewhere, server)
 		if server.Held.Len() == 0 {
 			empty++
@@ -300,10 +305,10 @@
 	}
 }
 
-// withLost adds the servers that went a moment ago. A server that crashed is back
-// after some seconds; without its place the layout would be moved twice. Its place
-// is given up at once when an empty server of its kind is there to take it, or
-// when it held what nobody else holds.
+// withLost adds the servers that were removed a moment ago. A crashed server is back after
+// some seconds; without its place in the layout, layers would be moved twice. The place is
+// given up at once when an empty server of the same kind can take it, or when the server
+// held layers that no other server holds.
 func (p *placer) withLost(service routes.Service, servers []spread.Server) []spread.Server {
 	now := bootclock.Now()
 	present := make(map[string]bool, len(servers))
@@ -314,71 +319,71 @@
 			empty[s.Card]++
 		}
 	}
-	for _, s := range p.last[service.Name] {
+	for _, s := range p.lastServers[service.Name] {
 		if !present[s.ID] && !s.Lost {
-			p.lost[s.ID] = lostServer{server: spread.Server{ID: s.ID, Card: s.Card, Slots: s.Slots, Held: s.Held, Lost: true}, service: service.Name, until: now + lostGrace}
+			p.lostServers[s.ID] = lostServer{server: spread.Server{ID: s.ID, Card: s.Card, Slots: s.Slots, Held: s.Held, Lost: true}, service: service.Name, expiresAt: now + lostServerGrace}
 		}
 	}
-	p.last[service.Name] = servers
-	whole := servers
-	for id, lost := range p.lost {
+	p.lastServers[service.Name] = servers
+	all := servers
+	for id, lost := range p.lostServers {
 		if lost.service != service.Name {
 			continue
 		}
-		if present[id] || now > lost.until || empty[lost.server.Card] > 0 {
+		if present[id] || now > lost.expiresAt || empty[lost.server.Card] > 0 {
 			empty[lost.server.Card]--
-			delete(p.lost, id)
+			delete(p.lostServers, id)
 			continue
 		}
-		whole = append(whole, lost.server)
+		all = append(all, lost.server)
 	}
 	if !spread.Covered(service.Engine, servers) {
 		return servers
 	}
-	return whole
+	return all
 }
 
-// span is the range from the first to the last layer held.
-func span(holds []backends.LayerRange) api.Layers {
-	var whole api.Layers
+// layerSpan is the range from the first to the last layer held.
+func layerSpan(holds []backends.LayerRange) api.Layers {
+	var bounds api.Layers
 	for i, held := range holds {
 		if i == 0 {
-			whole = held.Layers
+			bounds = held.Layers
 			continue
 		}
-		whole.From, whole.To = min(whole.From, held.Layers.From), max(whole.To, held.Layers.To)
+		bounds.From, bounds.To = min(bounds.From, held.Layers.From), max(bounds.To, held.Layers.To)
 	}
-	return whole
+	return bounds
 }
 
-// ready tells whether the servers that there are can be planned with.
-func (p *placer) ready(servers []spread.Server) bool {
+// canPlan reports whether the present servers are enough to plan a layout.
+func (p *placer) canPlan(servers []spread.Server) bool {
 	now := bootclock.Now()
-	if len(servers) != p.count {
-		p.count, p.changed = len(servers), now
+	if len(servers) != p.serverCount {
+		p.serverCount, p.serverCountSince = len(servers), now
 	}
 	for _, s := range servers {
 		if s.Held.Len() > 0 {
 			return true
 		}
 	}
-	return len(servers) > 0 && now-p.changed >= settled
+	return len(servers) > 0 && now-p.serverCountSince >= layoutSettleTime
 }
 
-// order gives an order on condition of the server's count of orders, so that one
-// which arrives late, after a newer one, does nothing.
-func (p *placer) order(ctx context.Context, service routes.Service, server backends.Server, order spread.Order) {
+// startOrder sends an order in the background on condition of the server's order count, so
+// that an order that arrives late, after a newer one, has no effect.
+func (p *placer) startOrder(ctx context.Context, service routes.Service, server backends.Server, order spread.Order) {
 	load, now := service.Engine.LoadTimeFor(order.Layers.Len()), bootclock.Now()
-	p.pending[order.Server] = pendingOrder{layers: order.Layers, loaded: now + load, until: now + orderLost + 4*load}
+	p.pending[order.Server] = pendingOrder{layers: order.Layers, loadedAt: now + load, expiresAt: now + orderExpiry + 4*load}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
-		err := p.give(ctx, server, order)
+		err := p.sendOrder(ctx, server, order)
 		if err != nil {
 			telemetry.LayersRefused.Fail(p.log, err, "server", order.Server, "layers", order.Layers.String())
 			select {
-			case p.failed <- order.Server:
-			default: // the order is decided anew after orderLost
+			case p.failures <- order.Server:
+			default: // the order is decided again after orderExpiry
 			}
 			return
 		}
@@ -386,7 +391,7 @@
 	}()
 }
 
-func (p *placer) give(ctx context.Context, server backends.Server, order spread.Order) error {
+func (p *placer) sendOrder(ctx context.Context, server backends.Server, order spread.Order) error {
 	report, err := p.parts.Engines.Report(ctx, server.Address)
 	p.signals.Apply(relay.ServerSignals{Server: server.ID, Signals: report.Signals})
 	if err != nil {
@@ -399,9 +404,9 @@
 		return errRestarted
 	}
 	if report.Layers == order.Layers {
-		return errHeld
+		return errAlreadyHeld
 	}
-	asked, err := p.parts.Engines.Place(ctx, server.Address, server.Name, relay.Order{ExpectedOrderCount: report.OrderCount, Layers: order.Layers})
-	p.signals.Apply(relay.ServerSignals{Server: server.ID, Signals: asked})
+	signals, err := p.parts.Engines.Place(ctx, server.Address, server.Name, relay.Order{ExpectedOrderCount: report.OrderCount, Layers: order.Layers})
+	p.signals.Apply(relay.ServerSignals{Server: server.ID, Signals: signals})
 	return err
 }
--- a/internal/edge/relay_test.go
+++ b/internal/edge/relay_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// reset ends a connection so that the other side sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(w http.ResponseWriter) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -21,10 +21,10 @@
 	_ = conn.Close()
 }
 
-// Symptom: a mentor sees two answers, a sale is booked twice. Sequence: a server
-// runs a request that may run once and its connection breaks. Cause: a second
-// send, by this program or hidden in the HTTP library.
-func TestARequestThatMayRunOnceIsSentOnce(t *testing.T) {
+// Guards against executing an at-most-once request twice: its connection breaks while a
+// server executes it, and the request is sent again by this program or inside the HTTP
+// library.
+func TestAtMostOnceRequestIsSentOnce(t *testing.T) {
 	r := newRig(t, table(1))
 	var sends atomic.Int32
 	broken := func(w http.ResponseWriter, _ *http.Request) {
@@ -37,9 +37,9 @@
 	r.Expect(sends.Load()).To(BeEquivalentTo(1))
 }
 
-// Symptom: a request is refused though a server is free. Sequence: the first
-// server says that it did not run it. Cause: its word isn't used.
-func TestARequestThatWasNotRunGoesElsewhere(t *testing.T) {
+// Guards against refusing a request though a server is free: the first server reports that
+// it did not execute the request, and that is ignored.
+func TestRequestNotExecutedIsRetriedOnAnotherServer(t *testing.T) {
 	r := newRig(t, table(1))
 	r.server("s1", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Not-Executed", "1")
@@ -52,10 +52,10 @@
 	}
 }
 
-// Symptom: a caller gets an answer to another request, or bytes that no server
-// meant. Sequence: an extra answer lies on a kept connection; an answer lacks the
-// server's word, is encoded, or is cut. Cause: it is passed on unchecked.
-func TestWrongAnswersAreNotPassedOn(t *testing.T) {
+// Guards against forwarding the response to another request, or bytes that no server
+// meant: an extra response on a kept connection, or a response that is unsigned, encoded
+// or truncated.
+func TestInvalidResponsesAreNotForwarded(t *testing.T) {
 	wrong := map[string]http.HandlerFunc{
 		"another request": func(w http.ResponseWriter, request *http.Request) {
 			sign(w, request)
@@ -92,9 +92,9 @@
 	}
 }
 
-// Symptom: a caller sees events twice, or misses some. Sequence: a server breaks
-// off inside event 3. Cause: the next server goes on from the wrong place.
-func TestABrokenStreamGoesOnAfterItsLastWholeEvent(t *testing.T) {
+// Guards against duplicate or missing events: a server breaks off inside event 3, and the
+// next server resumes at the wrong event.
+func TestBrokenStreamResumesAfterLastCompleteEvent(t *testing.T) {
 	r := newRig(t, table(1))
 	var runs atomic.Int32
 	serve := func(w http.ResponseWriter, request *http.Request) {
@@ -111,15 +111,15 @@
 	}
 	r.server("s1", serve)
 	r.server("s2", serve)
-	response := r.answered("/stream/a", "r1")
+	response := r.callUntilOK("/stream/a", "r1")
 	body, err := io.ReadAll(response.Body)
 	r.Expect(err).NotTo(HaveOccurred())
 	r.Expect(string(body)).To(Equal(event(1) + event(2) + event(3) + event(4)))
 }
 
-// Symptom: a caller takes half an answer for a whole one. Sequence: a stream
-// breaks and no server goes on with it. Cause: the answer ends in the usual way.
-func TestAStreamThatCantBeFinishedDoesNotLookWhole(t *testing.T) {
+// Guards against a truncated stream that looks complete: no server resumes it, and the
+// response is terminated normally.
+func TestUnfinishedStreamIsNotTerminatedNormally(t *testing.T) {
 	r := newRig(t, table(1))
 	r.server("s1", func(w http.ResponseWriter, request *http.Request) {
 		sign(w, request)
@@ -127,15 +127,15 @@
 		w.(http.Flusher).Flush()
 		reset(w)
 	})
-	response := r.answered("/stream/a", "r1")
+	response := r.callUntilOK("/stream/a", "r1")
 	_, err := io.ReadAll(response.Body)
 	r.Expect(err).To(HaveOccurred())
 }
 
-// Symptom: a caller takes half an answer for a whole one. Sequence: it closes its
-// side of the connection while a stream runs, and still reads. Cause: the request
-// counts as given up, and the answer ends in the usual way.
-func TestAStreamOfACallerThatClosedItsSideDoesNotLookWhole(t *testing.T) {
+// Guards against a truncated stream that looks complete: a caller closes its side of the
+// connection but still reads; the request is cancelled, and the response is terminated
+// normally.
+func TestStreamOfHalfClosedCallerIsNotTerminatedNormally(t *testing.T) {
 	r := newRig(t, table(1))
 	r.server("s1", func(w http.ResponseWriter, request *http.Request) {
 		sign(w, request)
@@ -154,13 +154,13 @@
 	r.Expect(conn.(*net.TCPConn).CloseWrite()).To(Succeed())
 	rest, err := io.ReadAll(answer)
 	r.Expect(err).NotTo(HaveOccurred())
-	r.Expect(string(rest)).NotTo(HaveSuffix("0\r\n\r\n"), "the end of a whole answer")
+	r.Expect(string(rest)).NotTo(HaveSuffix("0\r\n\r\n"), "the end of a complete response")
 }
 
-// Symptom: a safe request fails though another try would have served it.
-// Sequence: two servers, each of which fails the first time. Cause: no more
-// servers may run it, and those that did aren't asked again.
-func TestASafeRequestIsTriedAgainOnTheSameServers(t *testing.T) {
+// Guards against failing a safe request that another attempt would have served: two
+// servers fail their first attempt, no other server may be used, and the tried ones aren't
+// retried.
+func TestSafeRequestIsRetriedOnTriedServers(t *testing.T) {
 	r := newRig(t, table(1))
 	var runs atomic.Int32
 	flaky := func(w http.ResponseWriter, request *http.Request) {
--- a/internal/edge/rig_test.go
+++ b/internal/edge/rig_test.go
@@ -31,23 +31,23 @@
 	"oleandershunt.example/oleandershunt/platform"
 )
 
-// memory is an object store in memory whose troubles a test sets.
-type memory struct {
+// memoryStore is an in-memory object store with injected faults.
+type memoryStore struct {
 	mu      sync.Mutex
 	version history.Version
 	objects map[string]objects.Object
 	changes []objects.WatchEvent
-	news    chan struct{}
-	// down makes every call fail; failed counts the watches that did.
+	changed chan struct{}
+	// down makes every call fail; failed counts the failed watch calls.
 	down   bool
 	failed int
 }
 
-func newMemory() *memory {
-	return &memory{objects: make(map[string]objects.Object), news: make(chan struct{})}
+func newMemoryStore() *memoryStore {
+	return &memoryStore{objects: make(map[string]objects.Object), changed: make(chan struct{})}
 }
 
-func (m *memory) set(kind, name string, value any) {
+func (m *memoryStore) set(kind, name string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
@@ -57,7 +57,7 @@
 	m.put(kind, name, data)
 }
 
-func (m *memory) put(kind, name string, value []byte) objects.Object {
+func (m *memoryStore) put(kind, name string, value []byte) objects.Object {
 	m.version++
 	object := objects.Object{Kind: kind, Name: name, Version: m.version, Value: value}
 	m.objects[kind+"/"+name] = object
@@ -65,13 +65,13 @@
 	return object
 }
 
-func (m *memory) change(event objects.WatchEvent) {
+func (m *memoryStore) change(event objects.WatchEvent) {
 	m.changes = append(m.changes, event)
-	close(m.news)
-	m.news = make(chan struct{})
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
-func (m *memory) remove(kind, name string) {
+func (m *memoryStore) remove(kind, name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.version++
@@ -81,23 +81,23 @@
 	m.change(objects.WatchEvent{Object: object, Deleted: true})
 }
 
-// saved is a copy of a memory.
-type saved struct {
+// memorySnapshot is a copy of a memoryStore.
+type memorySnapshot struct {
 	version history.Version
 	objects map[string]objects.Object
 	changes []objects.WatchEvent
 }
 
-// save makes a copy.
-func (m *memory) save() saved {
+// snapshot copies the store.
+func (m *memoryStore) snapshot() memorySnapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return saved{version: m.version, objects: maps.Clone(m.objects), changes: slices.Clone(m.changes)}
+	return memorySnapshot{version: m.version, objects: maps.Clone(m.objects), changes: slices.Clone(m.changes)}
 }
 
-// comeBack has the store go on from a copy: what was written since is gone, and its versions
-// are given out again.
-func (m *memory) comeBack(from saved) {
+// restore replaces the store's contents by a snapshot: later writes are lost, and their
+// versions are reused.
+func (m *memoryStore) restore(from memorySnapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	version, err := history.NewVersion(m.version.History()+1, from.version.Revision())
@@ -105,25 +105,25 @@
 		panic(err)
 	}
 	m.version, m.objects, m.changes = version, maps.Clone(from.objects), slices.Clone(from.changes)
-	close(m.news)
-	m.news = make(chan struct{})
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
-func (m *memory) setDown(down bool) {
+func (m *memoryStore) setDown(down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.down = down
-	close(m.news)
-	m.news = make(chan struct{})
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
-func (m *memory) failures() int {
+func (m *memoryStore) failures() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.failed
 }
 
-func (m *memory) Get(_ context.Context, kind, name string) (objects.Object, error) {
+func (m *memoryStore) Get(_ context.Context, kind, name string) (objects.Object, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.down {
@@ -136,7 +136,7 @@
 	return object, nil
 }
 
-func (m *memory) List(_ context.Context, kind, _ string, each func(*objects.Object)) (objects.List, error) {
+func (m *memoryStore) List(_ context.Context, kind, _ string, each func(*objects.Object)) (objects.List, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.down {
@@ -152,7 +152,7 @@
 	return list, nil
 }
 
-func (m *memory) Put(_ context.Context, write objects.Write, value []byte) (objects.Object, error) {
+func (m *memoryStore) Put(_ context.Context, write objects.Write, value []byte) (objects.Object, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.down {
@@ -164,11 +164,11 @@
 	return m.put(write.Kind, write.Name, value), nil
 }
 
-func (m *memory) Delete(context.Context, objects.Write) error { return objects.ErrRefused }
+func (m *memoryStore) Delete(context.Context, objects.Write) error { return objects.ErrRefused }
 
-// since returns the changes of a kind after a version, and what is closed at the
-// next change.
-func (m *memory) since(kind string, version history.Version) ([]objects.WatchEvent, history.Version, <-chan struct{}, error) {
+// since returns the changes of a kind after a version, the current version, and a channel
+// that is closed at the next change.
+func (m *memoryStore) since(kind string, version history.Version) ([]objects.WatchEvent, history.Version, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.down {
@@ -184,10 +184,10 @@
 			fresh = append(fresh, event)
 		}
 	}
-	return fresh, m.version, m.news, nil
+	return fresh, m.version, m.changed, nil
 }
 
-func (m *memory) Watch(ctx context.Context, watch objects.Watch, handle func(objects.WatchEvent) error) error {
+func (m *memoryStore) Watch(ctx context.Context, watch objects.Watch, handle func(objects.WatchEvent) error) error {
 	version := watch.Version
 	for {
 		fresh, seen, news, err := m.since(watch.Kind, version)
@@ -210,7 +210,7 @@
 	}
 }
 
-// tableValue is a configuration as the test's store keeps it.
+// tableValue is a configuration as stored in the test's store.
 type tableValue struct {
 	Version uint64
 	Routes  []routes.Route
@@ -234,7 +234,7 @@
 	return server, err
 }
 
-// noEngines stands for a deployment without model servers.
+// noEngines is a deployment without model servers.
 type noEngines struct{}
 
 func (noEngines) Report(context.Context, string) (relay.Report, error) { return relay.Report{}, nil }
@@ -247,20 +247,20 @@
 	return backpressure.Signals{}, nil
 }
 
-// rig is one VM with its store and servers.
+// rig is one VM under test with its store and servers.
 type rig struct {
 	*WithT
-	t        *testing.T
-	store    *memory
-	way      *way
-	settings edge.Settings
-	// changes are made to the settings before the start.
+	t         *testing.T
+	store     *memoryStore
+	storeConn *storeConn
+	settings  edge.Settings
+	// changes are applied to the settings before the start.
 	changes []func(*edge.Settings)
 	stop    context.CancelFunc
 	ended   chan error
 }
 
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -269,50 +269,50 @@
 	return listener.Addr().String()
 }
 
-// newRig starts a VM whose store has a configuration with one key.
+// newRig starts a VM whose store has the given configuration.
 func newRig(t *testing.T, table tableValue) *rig {
-	store := newMemory()
+	store := newMemoryStore()
 	store.set("config", "main", table)
 	r := newVM(t, "vm-1", store, "")
 	r.Eventually(r.ready, "5s").Should(Equal(http.StatusOK))
 	return r
 }
 
-// way is one VM's way to a store that others reach too.
-type way struct {
-	*memory
+// storeConn is one VM's connection to a store that other VMs share.
+type storeConn struct {
+	*memoryStore
 	cut atomic.Bool
 	// reads counts the reads of the configuration.
 	reads atomic.Int64
-	// watches counts the questions of watches of servers' entries.
+	// watches counts the watch calls and their events.
 	watches atomic.Int64
 }
 
 // Watch implements objects.Wire.
-func (w *way) Watch(ctx context.Context, watch objects.Watch, handle func(objects.WatchEvent) error) error {
-	w.watches.Add(1)
-	return w.memory.Watch(ctx, watch, func(event objects.WatchEvent) error {
-		w.watches.Add(1)
+func (c *storeConn) Watch(ctx context.Context, watch objects.Watch, handle func(objects.WatchEvent) error) error {
+	c.watches.Add(1)
+	return c.memoryStore.Watch(ctx, watch, func(event objects.WatchEvent) error {
+		c.watches.Add(1)
 		return handle(event)
 	})
 }
 
-func (w *way) Get(ctx context.Context, kind, name string) (objects.Object, error) {
-	if w.cut.Load() {
+func (c *storeConn) Get(ctx context.Context, kind, name string) (objects.Object, error) {
+	if c.cut.Load() {
 		return objects.Object{}, objects.ErrUnavailable
 	}
 	if kind == "config" {
-		w.reads.Add(1)
+		c.reads.Add(1)
 	}
-	return w.memory.Get(ctx, kind, name)
+	return c.memoryStore.Get(ctx, kind, name)
 }
 
-// newVM starts a VM. seed is another VM's address for VMs; empty for a VM alone.
-func newVM(t *testing.T, name string, store *memory, seed string, changes ...func(*edge.Settings)) *rig {
-	r := &rig{WithT: NewWithT(t), t: t, store: store, way: &way{memory: store}, changes: changes}
+// newVM starts a VM. seed is another VM's peer address; empty without other VMs.
+func newVM(t *testing.T, name string, store *memoryStore, seed string, changes ...func(*edge.Settings)) *rig {
+	r := &rig{WithT: NewWithT(t), t: t, store: store, storeConn: &storeConn{memoryStore: store}, changes: changes}
 	const tries = 5
 	for range tries {
-		if r.begin(name, seed) {
+		if r.start(name, seed) {
 			t.Cleanup(r.stop)
 			return r
 		}
@@ -321,8 +321,8 @@
 	return nil
 }
 
-// newVMs starts so many VMs, of which the first one is the contact of the others.
-func newVMs(t *testing.T, store *memory, count int, changes ...func(*edge.Settings)) []*rig {
+// newVMs starts count VMs, of which the first one is the seed of the others.
+func newVMs(t *testing.T, store *memoryStore, count int, changes ...func(*edge.Settings)) []*rig {
 	vms := []*rig{newVM(t, "vm-1", store, "", changes...)}
 	for i := 2; i <= count; i++ {
 		vms = append(vms, newVM(t, fmt.Sprint("vm-", i), store, vms[0].settings.Peers, changes...))
@@ -330,11 +330,11 @@
 	return vms
 }
 
-// begin starts the VM's process. It returns false when one of its ports was taken by
-// another process after it was found to be free.
-func (r *rig) begin(name, seed string) bool {
+// start starts the VM's process. It returns false when another process took one of its
+// ports after it was found to be free.
+func (r *rig) start(name, seed string) bool {
 	r.settings = edge.Settings{
-		VM: name, DataCentre: "a", Peers: free(r.t), Host: "127.0.0.1", Callers: free(r.t), Ready: free(r.t), Store: "memory",
+		VM: name, DataCentre: "a", Peers: freeAddress(r.t), Host: "127.0.0.1", Callers: freeAddress(r.t), Ready: freeAddress(r.t), Store: "memory",
 		KeyTrust: 2 * time.Second, ApplyWithin: time.Second, Contact: 3 * time.Second, Grace: 8 * time.Second, RepeatRatio: 0.2, RepeatSlack: 200, RepeatWindow: 10 * time.Second,
 	}
 	if seed != "" {
@@ -350,7 +350,7 @@
 		ended <- edge.Run(ctx, edge.Parts{
 			Log: logr.Discard(), Settings: settings,
 			ReadAgain: func() (edge.Settings, error) { return settings, nil },
-			Store:     objects.NewClientOn(r.way, edge.StoreOptions(settings)...),
+			Store:     objects.NewClientOn(r.storeConn, edge.StoreOptions(settings)...),
 			Config:    edge.Source{Kind: "config", Name: "main"}, Servers: edge.Source{Kind: "servers"},
 			Decode: decoder{}, Requests: platform.Requests{}, Engines: noEngines{}, HealthPath: "/ready",
 		})
@@ -401,8 +401,8 @@
 	return http.DefaultClient.Do(request)
 }
 
-// answered sends a request until it is answered well.
-func (r *rig) answered(path, id string) *http.Response {
+// callUntilOK repeats a request until its status is 200.
+func (r *rig) callUntilOK(path, id string) *http.Response {
 	var response *http.Response
 	r.Eventually(func() int {
 		var err error
@@ -413,7 +413,7 @@
 	return response
 }
 
-// status is a request's status; 0 without an answer.
+// status returns a request's status; 0 without a response.
 func (r *rig) status(path, id string) int {
 	response, err := r.call(path, id)
 	if err != nil {
@@ -423,7 +423,7 @@
 	return response.StatusCode
 }
 
-// sign makes an answer valid.
+// sign adds the headers that make a response valid.
 func sign(w http.ResponseWriter, request *http.Request) {
 	w.Header().Set("X-Request-Id", request.Header.Get("X-Request-Id"))
 	w.Header().Set("X-Response-Seal", "seal")
--- a/internal/edge/serve.go
+++ b/internal/edge/serve.go
@@ -13,24 +13,25 @@
 	"oleandershunt.example/oleandershunt/internal/relay"
 )
 
-// The time limits of the servers. They are above the configuration's, which
-// callers keep to.
+// Limits of the HTTP servers. The timeouts are above the configured ones, which callers
+// keep to.
 const (
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 60 * time.Second
-	headerBytes   = 32 << 10
-	// patience is the silence of a stream after which its path is looked into.
-	// Events come 20 to 50 ms apart; callers leave after 2 s.
-	patience = 450 * time.Millisecond
+	headerTimeout  = 5 * time.Second
+	idleTimeout    = 60 * time.Second
+	maxHeaderBytes = 32 << 10
+	// stallTimeout is how long a stream may be silent before its path is checked. Events
+	// come 20 to 50 ms apart; callers give up after 2 s.
+	stallTimeout = 450 * time.Millisecond
 )
 
-// addServers adds the servers for callers, the balancer and metrics.
+// addServers adds the servers for callers, the load balancer's health checks and metrics
+// to the group.
 func addServers(group *run.Group, p Parts, handler *relay.Handler, config *configReader, stop *stopper) error {
 	callers := &http.Server{
-		Handler:           stop.closing(handler),
+		Handler:           stop.closeConnections(handler),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	stop.callers = callers
 	if err := listen(group, callers, p.Settings.Callers); err != nil {
@@ -60,7 +61,7 @@
 	return mux
 }
 
-// listen adds a server to the group.
+// listen adds a server on an address to the group.
 func listen(group *run.Group, server *http.Server, address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -18,48 +18,52 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// tidyEvery is the time between two looks for entries that did not come back.
-const tidyEvery = 200 * time.Millisecond
+// cleanupInterval is the interval at which entries that were not registered again are
+// removed.
+const cleanupInterval = 200 * time.Millisecond
 
-// serverList keeps the dispatcher's servers up to date with the store's entries.
+// serverList keeps the dispatcher's servers in sync with the platform's entries.
 type serverList struct {
 	parts      Parts
 	log        logr.Logger
 	dispatcher *relay.Dispatcher
-	// registered is told of each entry.
-	registered func(backends.Server)
-	// lost says that the platform doesn't answer, and no other VM that it answers.
-	lost atomic.Bool
-	// older says that the platform's last answer was older than what was seen before.
-	older atomic.Bool
-	// listed is the version of the last list. Only Listed uses it.
-	listed history.Version
-	// unread are the versions of the entries that name no server to use, by name.
-	unread map[string]history.Version
-	// told keeps the entries for other VMs, and learns them from those; learns is nil
-	// without other VMs.
-	told   *mirror.Log
-	learns *mirror.Follower
+	// onServer is called with each decoded entry.
+	onServer func(backends.Server)
+	// platformLost is set while neither the platform answers nor another VM that it
+	// answers.
+	platformLost atomic.Bool
+	// platformOlder is set while the platform's last response was older than an earlier
+	// one.
+	platformOlder atomic.Bool
+	// listVersion is the version of the last list. Only Listed uses it.
+	listVersion history.Version
+	// invalidEntries are the versions of the entries that describe no usable server, by
+	// name.
+	invalidEntries map[string]history.Version
+	// entryLog provides the entries to other VMs. follower learns them from other VMs; it
+	// is nil without any.
+	entryLog *mirror.Log
+	follower *mirror.Follower
 }
 
 var _ objects.Sink = (*serverList)(nil)
 
 func newServerList(p Parts, d *relay.Dispatcher, registered func(backends.Server)) *serverList {
-	l := &serverList{parts: p, log: p.Log, dispatcher: d, registered: registered, unread: make(map[string]history.Version)}
-	l.told = mirror.NewLog(l, bootclock.Now)
+	l := &serverList{parts: p, log: p.Log, dispatcher: d, onServer: registered, invalidEntries: make(map[string]history.Version)}
+	l.entryLog = mirror.NewLog(l, bootclock.Now)
 	return l
 }
 
 func (l *serverList) run(ctx context.Context) error {
-	go l.tidy(ctx)
-	if l.learns == nil {
+	go l.removeExpired(ctx)
+	if l.follower == nil {
 		return l.parts.Store.Follow(ctx, l.parts.Servers.Kind, "", l)
 	}
-	return l.parts.Store.FollowMirror(ctx, l.parts.Servers.Kind, "", l.told, l.learns)
+	return l.parts.Store.FollowMirror(ctx, l.parts.Servers.Kind, "", l.entryLog, l.follower)
 }
 
-func (l *serverList) tidy(ctx context.Context) {
-	ticker := time.NewTicker(tidyEvery)
+func (l *serverList) removeExpired(ctx context.Context) {
+	ticker := time.NewTicker(cleanupInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -79,11 +83,11 @@
 			servers = append(servers, server)
 		}
 	}
-	l.back()
-	if l.listed > 0 && l.listed.History() < list.Version.History() {
-		telemetry.PlatformCopied.Log(l.log, "kind", l.parts.Servers.Kind, "revision", list.Version.String(), "before", l.listed.String())
+	l.markPlatformUp()
+	if l.listVersion > 0 && l.listVersion.History() < list.Version.History() {
+		telemetry.PlatformCopied.Log(l.log, "kind", l.parts.Servers.Kind, "revision", list.Version.String(), "before", l.listVersion.String())
 	}
-	l.listed = list.Version
+	l.listVersion = list.Version
 	l.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Replace(now, servers, list.Version) })
 	telemetry.RelayServers.Log(l.log, "listed", len(servers), "revision", list.Version.String())
 	return nil
@@ -91,7 +95,7 @@
 
 // Watched implements objects.Sink.
 func (l *serverList) Watched(event objects.WatchEvent) error {
-	l.back()
+	l.markPlatformUp()
 	if event.Bookmark {
 		return nil
 	}
@@ -111,7 +115,7 @@
 	return nil
 }
 
-// remove takes the word that an entry is gone, or names no server to use.
+// remove removes the server of an entry that was deleted or describes no usable server.
 func (l *serverList) remove(object objects.Object) {
 	l.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Remove(now, object.Name, object.Version) })
 }
@@ -121,48 +125,48 @@
 	if errors.Is(err, objects.ErrCompacted) {
 		return
 	}
-	if !l.lost.Swap(true) {
+	if !l.platformLost.Swap(true) {
 		telemetry.PlatformLost.Log(l.log, "cause", err.Error())
 	}
-	if older := errors.Is(err, objects.ErrStaleList); older != l.older.Swap(older) && older {
+	if older := errors.Is(err, objects.ErrStaleList); older != l.platformOlder.Swap(older) && older {
 		telemetry.PlatformOlder.Log(l.log, "kind", l.parts.Servers.Kind, "cause", err.Error())
 	}
 	l.dispatcher.WithFleet(func(_ time.Duration, fleet *backends.Fleet) { fleet.SetPlatformDown() })
 }
 
-func (l *serverList) back() {
-	l.older.Store(false)
-	if l.lost.Swap(false) {
+func (l *serverList) markPlatformUp() {
+	l.platformOlder.Store(false)
+	if l.platformLost.Swap(false) {
 		telemetry.PlatformBack.Log(l.log)
 	}
 	l.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.SetPlatformUp(now) })
 }
 
-// decode reads an entry. One that names no server to use is left out, with a line for
-// each of its versions.
+// decode decodes an entry. An entry that describes no usable server is skipped and logged
+// once for each of its versions.
 func (l *serverList) decode(object objects.Object) (backends.Server, bool) {
 	server, err := l.parts.Decode.Server(object.Name, object.Value)
 	if err != nil {
-		l.leaveOut(object, err)
+		l.reportInvalid(object, err)
 		return server, false
 	}
-	delete(l.unread, object.Name)
+	delete(l.invalidEntries, object.Name)
 	server.Revision = object.Version
-	l.registered(server)
+	l.onServer(server)
 	return server, true
 }
 
-// unreadKept bounds the entries that are remembered as left out.
-const unreadKept = 1024
+// maxInvalidEntries bounds the number of remembered invalid entries.
+const maxInvalidEntries = 1024
 
-func (l *serverList) leaveOut(object objects.Object, err error) {
-	if version, told := l.unread[object.Name]; told && version == object.Version {
+func (l *serverList) reportInvalid(object objects.Object, err error) {
+	if version, reported := l.invalidEntries[object.Name]; reported && version == object.Version {
 		return
 	}
-	if len(l.unread) >= unreadKept {
-		clear(l.unread)
+	if len(l.invalidEntries) >= maxInvalidEntries {
+		clear(l.invalidEntries)
 	}
-	l.unread[object.Name] = object.Version
+	l.invalidEntries[object.Name] = object.Version
 	metrics.GetOrCreateCounter("oleandershunt_relay_entries_left_out_total").Inc()
 	telemetry.RelayServers.Fail(l.log, err, "server", object.Name, "revision", object.Version.String())
 }
--- a/internal/edge/settings.go
+++ b/internal/edge/settings.go
@@ -1,7 +1,7 @@
-// Package edge is the process of a VM that forwards opaque requests: it keeps
-// the configuration and the list of backend servers up to date from an object
-// store, serves callers, orders the layers of its data centre's servers while it
-// holds that role, and stops without cutting requests.
+// Package edge is the process of a VM that forwards opaque requests: it keeps the
+// configuration and the list of backend servers up to date from an object store, serves
+// callers, orders the layers of its data centre's servers while it holds that role, and
+// shuts down without cutting requests.
 package edge
 
 import (
@@ -12,66 +12,68 @@
 	objects "oleandershunt.example/oleandershunt/internal/platform"
 )
 
-// Settings are what one VM needs to know at its start.
+// Settings are the settings of one VM.
 type Settings struct {
-	// VM and DataCentre are the names of the VM and of the place where it stands.
+	// VM and DataCentre are the names of the VM and of its data centre.
 	VM, DataCentre string
 	// Host is the VM's IP address.
 	Host string
-	// Callers, Ready and Peers are the addresses, host:port, for callers, for the
-	// balancer's question and for other VMs.
+	// Callers, Ready and Peers are the listen addresses, host:port, for callers, for the
+	// load balancer's health checks and for other VMs.
 	Callers, Ready, Peers string
-	// Seeds are addresses at which other VMs may be found. Any may be stale.
+	// Seeds are addresses at which other VMs may be found. Any of them may be stale.
 	Seeds []string
 	// Store is the address of the object store, host:port.
 	Store string
-	// MemoryMB is the memory that the process may take.
+	// MemoryMB is the memory that the process may use, in MB.
 	MemoryMB float64
-	// Cores is the processor time that the VM has, in cores. VMs with most of it take the
-	// duties of their data centre. 0 where it isn't known.
+	// Cores is the VM's CPU capacity in cores. The VMs with the most capacity take the
+	// roles of their data centre. 0 when it is unknown.
 	Cores float64
-	// FirstStart says that all VMs of the deployment start for the first time.
+	// FirstStart is set when all VMs of the deployment start for the first time.
 	FirstStart bool
-	// KeyTrust is the age of the proof up to which keys are accepted. A key that
-	// was taken away must open nothing later than this.
+	// KeyTrust is the maximum age of the configuration's proof at which keys are accepted.
+	// A revoked key must not be accepted for longer than this.
 	KeyTrust time.Duration
-	// ApplyWithin is how soon a new configuration must be in force. 2 s when it is 0.
+	// ApplyWithin is the time within which a new configuration must be in force. 2 s when
+	// it is 0.
 	ApplyWithin time.Duration
-	// Contact is how long after a disturbance a VM must be up to date again. 3 s when it
-	// is 0.
+	// Contact is the time within which a VM must be up to date again after a disturbance.
+	// 3 s when it is 0.
 	Contact time.Duration
-	// Signs is the time between two signs of life of a backend server. 0 is the usual one.
+	// Signs is the heartbeat interval of backend servers. 0 selects the default.
 	Signs time.Duration
-	// Grace is the time from a planned stop to the kill.
+	// Grace is the time from the start of a graceful shutdown to the kill.
 	Grace time.Duration
-	// RepeatRatio, RepeatSlack and RepeatWindow bound the repeats of all VMs.
+	// RepeatRatio, RepeatSlack and RepeatWindow are the retry budget of all VMs together.
 	RepeatRatio, RepeatSlack float64
 	RepeatWindow             time.Duration
-	// OperationsPort is where metrics are served. 0 serves none.
+	// OperationsPort is the port that serves metrics. 0 serves none.
 	OperationsPort int
 }
 
-// The defaults of times that a deployment needs not set.
+// Defaults of optional times.
 const (
-	defaultApplyWithin = 2 * time.Second
-	defaultContact     = 3 * time.Second
+	defaultConfigApplyTime = 2 * time.Second
+	defaultResyncTime      = 3 * time.Second
 )
 
-// WithDefaults sets what is left out.
+// WithDefaults returns the settings with defaults for optional times that are not set.
 func (s Settings) WithDefaults() Settings {
 	if s.ApplyWithin <= 0 {
-		s.ApplyWithin = defaultApplyWithin
+		s.ApplyWithin = defaultConfigApplyTime
 	}
 	if s.Contact <= 0 {
-		s.Contact = defaultContact
+		s.Contact = defaultResyncTime
 	}
 	return s
 }
 
-// ErrSettings marks settings that can't be used.
+// ErrSettings marks a required setting that is missing.
 var ErrSettings = eris.New("setting is missing: give it")
 
-// Validate returns an error that names the first setting that can't be used.
+// Validate returns an error, which wraps ErrSettings, that names the first required
+// setting that is missing.
 func (s Settings) Validate() error {
 	required := []struct {
 		name string
@@ -93,42 +95,42 @@
 	return nil
 }
 
-// The pace of the store's calls.
+// Limits of the object store's client.
 const (
-	// ConnectTimeout bounds a connect to the store or a server; either answers in
-	// milliseconds.
+	// ConnectTimeout bounds a connection attempt to the store or to a server; either
+	// answers in milliseconds.
 	ConnectTimeout = 400 * time.Millisecond
-	// callTimeout bounds a call of the store, which answers in 4 ms and, on a bad
-	// day, a hundred times later.
+	// callTimeout bounds a call of the store, which answers in 4 ms and, on a bad day, a
+	// hundred times later.
 	callTimeout = 900 * time.Millisecond
-	// catchUp is what is left of the time in which a VM must be up to date again when
-	// a watch ends without changes: a watch that went silent is found 0.7 s later, and
-	// the list is read then. Every call is paid for, so a watch is as long as that
-	// allows.
-	catchUp = time.Second
-	// shortestBookmark and longestBookmark bound the time of a watch. VMs that learn from
-	// this one believe it for 3 s after the platform's last answer.
-	shortestBookmark = 500 * time.Millisecond
-	longestBookmark  = 2 * time.Second
-	// gather is how long changes of servers' entries are gathered after the first: they
-	// come in bursts, and operators expect each to be known within two seconds. Half of
-	// the calls on a day with trouble were answers with one change.
-	gather = 250 * time.Millisecond
-	// longestBackoff bounds the wait after failures: what was missed must be known
-	// within two seconds of the store's return.
-	longestBackoff = 400 * time.Millisecond
-	// callsPerSecond and callBurst bound this VM's calls. Undisturbed it makes two.
+	// resyncMargin is what remains of the time within which a VM must be up to date again
+	// when a watch ends without changes: a silent watch is detected 0.7 s later, and the
+	// list is read then. Every call is billed, so a watch lasts as long as that allows.
+	resyncMargin = time.Second
+	// minBookmark and maxBookmark bound the duration of a watch. VMs that learn from this
+	// one trust it for 3 s after the platform's last response.
+	minBookmark = 500 * time.Millisecond
+	maxBookmark = 2 * time.Second
+	// gatherTime is how long changes of server entries are batched after the first one:
+	// they come in bursts, and operators expect each to be known within two seconds. On a
+	// day with failures, half of the calls returned a single change.
+	gatherTime = 250 * time.Millisecond
+	// maxBackoff bounds the retry delay: missed changes must be known within two seconds
+	// of the store's return.
+	maxBackoff = 400 * time.Millisecond
+	// callsPerSecond and callBurst bound this VM's calls. Without failures it makes two a
+	// second.
 	callsPerSecond = 20
 	callBurst      = 20
 )
 
-// StoreOptions are the options of the store's client.
+// StoreOptions returns the options of the store's client.
 func StoreOptions(s Settings) []objects.Option {
 	return []objects.Option{
 		objects.WithCallTimeout(callTimeout),
-		objects.WithBookmark(min(max(s.Contact-catchUp, shortestBookmark), longestBookmark)),
-		objects.WithGather(gather),
-		objects.WithLongestBackoff(longestBackoff),
+		objects.WithBookmark(min(max(s.Contact-resyncMargin, minBookmark), maxBookmark)),
+		objects.WithGather(gatherTime),
+		objects.WithLongestBackoff(maxBackoff),
 		objects.WithBudget(callsPerSecond, callBurst),
 	}
 }
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -12,37 +12,37 @@
 	"oleandershunt.example/oleandershunt/internal/telemetry"
 )
 
-// The steps of a planned stop.
+// Times of the graceful shutdown.
 const (
-	// outOfRotation is how long new connections still come: the balancer asks once
-	// a second and believes two answers.
+	// outOfRotation is how long new connections may still arrive: the load balancer checks
+	// once a second and acts on two results.
 	outOfRotation = 2500 * time.Millisecond
-	// stopMargin is how much before the kill the process ends by itself.
+	// stopMargin is how long before the kill the process ends by itself.
 	stopMargin = 500 * time.Millisecond
 )
 
-// stopper is the planned stop: out of the balancer's rotation first, then no kept
-// connections, then the end when every request is answered.
+// stopper runs the graceful shutdown: the VM leaves the load balancer's rotation, closes
+// idle connections, and ends when every request is answered.
 type stopper struct {
 	log      logr.Logger
 	settings func() Settings
 	callers  *http.Server
-	begun    atomic.Bool
-	// leave tells the other VMs of the stop.
-	leave func()
-	// failed is closed when a duty of the process has failed, which ends the others.
+	started  atomic.Bool
+	// announceLeave announces the stop to the other VMs.
+	announceLeave func()
+	// failed is closed when a task of the process has failed, which ends the others.
 	failed chan struct{}
 }
 
 func newStopper(p Parts) *stopper {
-	return &stopper{log: p.Log, settings: p.current.get, leave: func() {}, failed: make(chan struct{})}
+	return &stopper{log: p.Log, settings: p.current.get, announceLeave: func() {}, failed: make(chan struct{})}
 }
 
-func (s *stopper) stopping() bool { return s.begun.Load() }
+func (s *stopper) stopping() bool { return s.started.Load() }
 
-// closing asks callers to open another connection, which reaches another VM. The
-// connection is closed after the answer and never before it.
-func (s *stopper) closing(next http.Handler) http.Handler {
+// closeConnections makes callers open another connection, which reaches another VM. The
+// connection is closed after the response and never before it.
+func (s *stopper) closeConnections(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.stopping() {
 			w = &closingWriter{ResponseWriter: w}
@@ -51,7 +51,7 @@
 	})
 }
 
-// closingWriter adds the header that ends a connection to an answer's head.
+// closingWriter adds the header that closes the connection to a response.
 type closingWriter struct{ http.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
@@ -60,32 +60,32 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap lets http.ResponseController find the writer's other abilities.
+// Unwrap gives http.ResponseController access to the underlying writer.
 func (w *closingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// interrupt says that a duty has failed. The servers are closed then, so nothing is
-// left to stop for: a process that waited on for its signal would do nothing for
-// callers and would not be started again.
+// interrupt records that a task has failed. The servers are closed then, so there is
+// nothing to shut down gracefully: a process that kept waiting for its signal would serve
+// no callers and would not be restarted.
 func (s *stopper) interrupt(error) { close(s.failed) }
 
-// wait returns when ctx has ended and the stop is over, or when a duty has failed.
+// wait returns when ctx has ended and the shutdown is complete, or when a task has failed.
 func (s *stopper) wait(ctx context.Context, handler *relay.Handler) error {
 	select {
 	case <-ctx.Done():
 	case <-s.failed:
-		s.begun.Store(true)
+		s.started.Store(true)
 		return nil
 	}
-	s.begun.Store(true)
-	s.leave()
+	s.started.Store(true)
+	s.announceLeave()
 	telemetry.VMStopping.Log(s.log, "inFlight", handler.InFlight())
 	end := time.Now().Add(s.settings().Grace - stopMargin)
 	time.Sleep(outOfRotation)
-	// From here on callers' idle connections are closed. A caller that kept one
-	// would send its next request at the very end, when it can't be finished.
-	rest, cancel := context.WithDeadline(context.WithoutCancel(ctx), end)
+	// From here on callers' idle connections are closed. A caller that kept one would send
+	// its next request at the very end, when it can't be completed.
+	shutdown, cancel := context.WithDeadline(context.WithoutCancel(ctx), end)
 	defer cancel()
-	if s.callers.Shutdown(rest) != nil {
+	if s.callers.Shutdown(shutdown) != nil {
 		telemetry.VMDrainForced.Log(s.log, "inFlight", handler.InFlight())
 		return s.callers.Close()
 	}
--- a/internal/edge/stop_test.go
+++ b/internal/edge/stop_test.go
@@ -12,11 +12,10 @@
 	"oleandershunt.example/oleandershunt/internal/core/history"
 )
 
-// Symptom: callers' streams break off at each planned stop. Sequence: a VM is
-// told to stop while it streams an answer; once out of rotation it closes its
-// listener. Cause: the end of the listener ended the process, and with it the
-// answers that were under way.
-func TestAPlannedStopFinishesStreams(t *testing.T) {
+// Guards against breaking streams at a graceful shutdown: a VM that streams a response
+// leaves rotation and closes its listener, and the end of the listener ended the process
+// with its requests in flight.
+func TestPlannedStopFinishesStreams(t *testing.T) {
 	r := newRig(t, table(1))
 	goOn := make(chan struct{})
 	r.server("s1", func(w http.ResponseWriter, request *http.Request) {
@@ -38,7 +37,7 @@
 
 	r.stop()
 	r.Eventually(r.ready).Should(Equal(http.StatusServiceUnavailable))
-	r.Eventually(func() int { return r.status("/stream/b", "r2") }, "5s").Should(BeZero(), "no connection is taken any more")
+	r.Eventually(func() int { return r.status("/stream/b", "r2") }, "5s").Should(BeZero(), "new connections are refused")
 	close(goOn)
 
 	body, err := io.ReadAll(response.Body)
@@ -47,10 +46,10 @@
 	r.Eventually(r.ended, "5s").Should(Receive(BeNil()))
 }
 
-// Symptom: lost layers stay lost for seconds during planned stops. Sequence: a VM
-// that is told to stop takes the role that orders them, renews it, or leaves the
-// others to wait for its end. Cause: the role doesn't know of the stop.
-func TestAStoppingVMGivesTheRoleUpAndTakesNone(t *testing.T) {
+// Guards against seconds without placement during graceful shutdowns: a stopping VM
+// acquires the placement role, renews it, or makes the others wait for its lease to
+// expire.
+func TestStoppingVMReleasesRoleAndDoesNotReacquireIt(t *testing.T) {
 	r := newRig(t, table(1))
 	role := func() (version history.Version, released bool) {
 		object, err := r.store.Get(context.Background(), "oleandershunt-roles", "layers-a")
@@ -74,11 +73,11 @@
 	}, "2s", "100ms").Should(Equal(held))
 }
 
-// Symptom: nobody orders layers for seven seconds after a planned stop. Sequence:
-// the VM that comes first for the role stops; the others wait for it to take the
-// role that it gave up. Cause: they don't know that it is leaving.
-func TestAnotherVMTakesTheRoleOfOneThatStops(t *testing.T) {
-	store := newMemory()
+// Guards against seven seconds without placement after a graceful shutdown: the VM that
+// ranks first for the role stops, and the others wait for it to acquire the role that it
+// released.
+func TestAnotherVMTakesRoleFromStoppingVM(t *testing.T) {
+	store := newMemoryStore()
 	store.set("config", "main", table(1))
 	first := newVM(t, "vm-1", store, "")
 	second := newVM(t, "vm-2", store, first.settings.Peers)
