--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -1,4 +1,4 @@
-// Package probe asks backend servers how they are, at a bounded rate.
+// Package probe checks the health of backend servers at a bounded rate.
 package probe
 
 import (
@@ -17,28 +17,30 @@
 type Target struct {
 	Name    string
 	Address string
-	// Service says that it is a plain service, of which a probe shows only that
-	// it takes connections.
+	// Service marks a plain service. A probe of it checks only that it accepts a
+	// TCP connection.
 	Service bool
-	// Rare lowers the rate: another VM's task, watched here only because
-	// somebody could not reach it.
+	// Rare lowers the probe rate. It is set for a server that another VM is
+	// responsible for and that is probed here only because some VM could not
+	// reach it.
 	Rare bool
 }
 
-// Result is the end of a probe.
+// Result is the outcome of one probe.
 type Result struct {
 	Target Target
-	// Capabilities is what an engine said of itself. Zero for a plain service.
+	// Capabilities is what the engine reported. It is zero for a plain service.
 	Capabilities engine.Capabilities
-	// Err is nil when the server answered.
+	// Err is nil if the server answered.
 	Err error
-	// Refused says that the connection was refused.
+	// Refused is true if the connection was refused.
 	Refused bool
-	// Misplaced says that another server answered at the address.
+	// Misplaced is true if a different server answered at the address.
 	Misplaced bool
 }
 
-// Engines asks a model engine what it holds and how loaded it is.
+// Engines reads the capabilities of a model engine: what it has loaded and how
+// busy it is.
 type Engines interface {
 	Capabilities(ctx context.Context, address string) (engine.Capabilities, error)
 }
@@ -46,71 +48,74 @@
 // Options are the settings of a prober.
 type Options struct {
 	Engines Engines
-	// Clock is what Timeout is measured by. It may be nil.
+	// Clock measures Timeout. It may be nil.
 	Clock *schedclock.Clock
-	// Interval is the time between two probes of a target, Timeout bounds one.
+	// Interval is the time between two probes of a target. Timeout bounds one
+	// probe.
 	Interval time.Duration
 	Timeout  time.Duration
-	// MaxPerSecond bounds all probes; the interval grows with the targets.
+	// MaxPerSecond bounds the rate of all probes together. The interval grows with
+	// the number of targets to stay below it.
 	MaxPerSecond int
-	// Report takes each result. It is called from several goroutines.
+	// Report receives each result. It is called from several goroutines.
 	Report func(Result)
 }
 
 const (
-	// rareFactor is how many intervals lie between probes of a rare target.
-	rareFactor = 4
-	// urgentCapacity bounds the targets to be probed at once. More are left to
-	// the usual interval.
+	// lowRateFactor is the number of intervals between two probes of a target with
+	// Rare set.
+	lowRateFactor = 4
+	// urgentCapacity bounds the queue of targets to probe immediately. Further
+	// targets wait for their regular interval.
 	urgentCapacity = 256
-	// atOnce bounds the probes under way: silent servers hold their place until
-	// the timeout.
-	atOnce = 16
-	// urgentPause keeps a target that is asked for again and again from being
-	// probed without end.
-	urgentPause = 200 * time.Millisecond
+	// maxInFlight bounds the concurrent probes. An unresponsive server occupies a
+	// slot until the timeout.
+	maxInFlight = 16
+	// urgentMinInterval is the shortest time between two probes of a target, so
+	// that repeated calls of Now don't probe it continuously.
+	urgentMinInterval = 200 * time.Millisecond
 )
 
-// Prober probes targets. It is safe for concurrent use.
+// Prober probes targets periodically. It is safe for concurrent use.
 type Prober struct {
 	options Options
 	urgent  chan string
 	changed chan struct{}
-	places  chan struct{}
+	slots   chan struct{}
 
 	mu      sync.Mutex
-	targets map[string]*scheduled
+	targets map[string]*targetState
 }
 
-type scheduled struct {
+type targetState struct {
 	target  Target
 	due     time.Time
 	last    time.Time
 	running bool
 }
 
-// New makes a prober without targets.
+// New returns a prober without targets.
 func New(options Options) *Prober {
 	return &Prober{
 		options: options,
 		urgent:  make(chan string, urgentCapacity),
 		changed: make(chan struct{}, 1),
-		places:  make(chan struct{}, atOnce),
-		targets: make(map[string]*scheduled),
+		slots:   make(chan struct{}, maxInFlight),
+		targets: make(map[string]*targetState),
 	}
 }
 
-// SetTargets replaces the targets. Those that stay keep their place in time.
+// SetTargets replaces the targets. Targets that remain keep their schedule.
 func (p *Prober) SetTargets(targets []Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := make(map[string]*scheduled, len(targets))
+	next := make(map[string]*targetState, len(targets))
 	now := time.Now()
 	for i, target := range targets {
 		s, ok := p.targets[target.Name]
 		if !ok {
-			// New targets are spread over the interval.
-			s = &scheduled{due: now.Add(p.interval(len(targets)) * time.Duration(i) / time.Duration(len(targets)))}
+			// New targets are spread evenly over the interval.
+			s = &targetState{due: now.Add(p.interval(len(targets)) * time.Duration(i) / time.Duration(len(targets)))}
 		}
 		s.target = target
 		next[target.Name] = s
@@ -122,7 +127,8 @@
 	}
 }
 
-// Now probes a target at once, if it is one.
+// Now schedules an immediate probe of the target with this name. Unknown names
+// are ignored.
 func (p *Prober) Now(name string) {
 	select {
 	case p.urgent <- name:
@@ -130,7 +136,7 @@
 	}
 }
 
-// Run probes until ctx ends.
+// Run probes the targets until ctx ends and returns its error.
 func (p *Prober) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -139,7 +145,7 @@
 		case <-timer.C:
 		case <-p.changed:
 		case name := <-p.urgent:
-			p.hasten(name)
+			p.expedite(name)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -147,15 +153,17 @@
 	}
 }
 
-func (p *Prober) hasten(name string) {
+// expedite brings a target's next probe forward.
+func (p *Prober) expedite(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s, ok := p.targets[name]; ok {
-		s.due = s.last.Add(urgentPause)
+		s.due = s.last.Add(urgentMinInterval)
 	}
 }
 
-// startDue starts the probes that are due and returns the time to the next.
+// startDue starts the probes that are due and returns the time until the next
+// one.
 func (p *Prober) startDue(ctx context.Context) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,47 +171,48 @@
 	interval := p.interval(len(p.targets))
 	wait := interval
 	for _, s := range p.targets {
-		if left := s.due.Sub(now); left > 0 || s.running {
+		if remaining := s.due.Sub(now); remaining > 0 || s.running {
 			if !s.running {
-				wait = min(wait, left)
+				wait = min(wait, remaining)
 			}
 			continue
 		}
 		select {
-		case p.places <- struct{}{}:
+		case p.slots <- struct{}{}:
 		default:
 			return time.Second / time.Duration(p.options.MaxPerSecond)
 		}
 		s.running, s.last, s.due = true, now, now.Add(interval)
 		if s.target.Rare {
-			s.due = now.Add(rareFactor * interval)
+			s.due = now.Add(lowRateFactor * interval)
 		}
 		go p.probe(ctx, s, s.target)
 	}
 	return max(wait, time.Millisecond)
 }
 
-// interval keeps the rate of all probes below its bound.
+// interval returns the time between two probes of a target: the configured one,
+// or longer where MaxPerSecond would be exceeded.
 func (p *Prober) interval(targets int) time.Duration {
 	return max(p.options.Interval, time.Duration(targets)*time.Second/time.Duration(p.options.MaxPerSecond))
 }
 
-func (p *Prober) probe(ctx context.Context, s *scheduled, target Target) {
+func (p *Prober) probe(ctx context.Context, s *targetState, target Target) {
 	defer func() {
 		p.mu.Lock()
 		s.running = false
 		p.mu.Unlock()
-		<-p.places
+		<-p.slots
 	}()
-	limited, cancel := p.options.Clock.WithTimeout(ctx, p.options.Timeout)
+	probeCtx, cancel := p.options.Clock.WithTimeout(ctx, p.options.Timeout)
 	defer cancel()
-	result := p.ask(limited, target)
+	result := p.check(probeCtx, target)
 	if ctx.Err() == nil {
 		p.options.Report(result)
 	}
 }
 
-func (p *Prober) ask(ctx context.Context, target Target) Result {
+func (p *Prober) check(ctx context.Context, target Target) Result {
 	result := Result{Target: target}
 	if target.Service {
 		var dialer net.Dialer
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -29,7 +29,7 @@
 	return e
 }
 
-// results collects what a prober reports.
+// results collects the results that a prober reports.
 type results struct {
 	mu    sync.Mutex
 	count map[string]int
@@ -59,7 +59,7 @@
 	return p, r
 }
 
-func (r *results) of(name string) func() probe.Result {
+func (r *results) latest(name string) func() probe.Result {
 	return func() probe.Result {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -67,10 +67,9 @@
 	}
 }
 
-// Symptom: a probe vouches for a server that is down or another. Sequence: its
-// process ends, or its address is reused by another server. Cause: any answer at
-// the address was taken for the server's.
-func TestProbesTellAnAnswerFromARefusalAndFromAnotherServer(t *testing.T) {
+// Guards against reporting a server as healthy when its process has ended or its
+// address is reused by another server, because any answer at the address counts.
+func TestProbeDetectsRefusedConnectionAndWrongServer(t *testing.T) {
 	g := NewWithT(t)
 	var bytes atomic.Int64
 	up, down := startEngine(t, "up", &bytes), startEngine(t, "down", &bytes)
@@ -82,24 +81,24 @@
 		{Name: "elsewhere", Address: up.Address()},
 		{Name: "service", Address: up.Address(), Service: true},
 	})
-	g.Eventually(r.of("up")).Should(HaveField("Capabilities.Server", "up"))
-	g.Eventually(r.of("down")).Should(HaveField("Refused", true))
-	g.Eventually(r.of("elsewhere")).Should(HaveField("Misplaced", true))
-	g.Eventually(r.of("service")).Should(And(HaveField("Target.Name", "service"), HaveField("Err", BeNil())))
+	g.Eventually(r.latest("up")).Should(HaveField("Capabilities.Server", "up"))
+	g.Eventually(r.latest("down")).Should(HaveField("Refused", true))
+	g.Eventually(r.latest("elsewhere")).Should(HaveField("Misplaced", true))
+	g.Eventually(r.latest("service")).Should(And(HaveField("Target.Name", "service"), HaveField("Err", BeNil())))
 }
 
-// Symptom: a rack is lost, and the probes of the living servers stop. Sequence:
-// all servers of the rack are silent, and each probe waits for its time limit.
-// Cause: probes were made one after another.
-func TestSilentServersDoNotHoldBackTheProbesOfOthers(t *testing.T) {
+// Guards against sequential probing: after the loss of a rack, the probes of its
+// unresponsive servers each run to the timeout and would block those of healthy
+// servers.
+func TestUnresponsiveServersDoNotDelayOtherProbes(t *testing.T) {
 	g := NewWithT(t)
 	var bytes atomic.Int64
 	live := startEngine(t, "live", &bytes)
 	targets := []probe.Target{{Name: "live", Address: live.Address()}}
 	for i := range 8 {
-		silent := startEngine(t, fmt.Sprintf("rack-%d", i), &bytes)
-		silent.Stall()
-		targets = append(targets, probe.Target{Name: silent.Name(), Address: silent.Address()})
+		unresponsive := startEngine(t, fmt.Sprintf("rack-%d", i), &bytes)
+		unresponsive.Stall()
+		targets = append(targets, probe.Target{Name: unresponsive.Name(), Address: unresponsive.Address()})
 	}
 	p, r := run(t, probe.Options{Interval: 10 * time.Millisecond, Timeout: time.Hour, MaxPerSecond: 1000})
 	p.SetTargets(targets)
@@ -110,10 +109,10 @@
 	}).Should(BeNumerically(">", 5))
 }
 
-// Symptom: a VM suspects healthy servers, and tells the others. Sequence: the VM
-// is short of processor time and gets to a probe's answer after the time limit.
-// Cause: a limit by the wall clock, which counts the VM's own lateness.
-func TestStarvedVMSuspectsNobody(t *testing.T) {
+// Guards against a VM short of CPU time that suspects healthy servers and reports
+// this to other VMs: a wall-clock timeout also counts the VM's own scheduling
+// delay, so that it expires before the VM handles the answer.
+func TestCPUStarvedVMReportsNoProbeTimeouts(t *testing.T) {
 	g := NewWithT(t)
 	late := startEngine(t, "late", new(atomic.Int64))
 	late.Stall()
@@ -121,29 +120,29 @@
 	clock.Heartbeat()
 	p, r := run(t, probe.Options{Clock: clock, Interval: 10 * time.Millisecond, Timeout: 50 * time.Millisecond, MaxPerSecond: 1000})
 	p.SetTargets([]probe.Target{{Name: "late", Address: late.Address()}})
-	g.Consistently(r.of("late"), "500ms").Should(HaveField("Err", Succeed()))
+	g.Consistently(r.latest("late"), "500ms").Should(HaveField("Err", Succeed()))
 	late.Recover()
-	g.Eventually(r.of("late")).Should(And(HaveField("Err", Succeed()), HaveField("Capabilities.Server", "late")))
+	g.Eventually(r.latest("late")).Should(And(HaveField("Err", Succeed()), HaveField("Capabilities.Server", "late")))
 	late.Stall()
 	go func() { _ = clock.Run(t.Context()) }()
-	g.Eventually(r.of("late")).Should(HaveField("Err", HaveOccurred()))
+	g.Eventually(r.latest("late")).Should(HaveField("Err", HaveOccurred()))
 }
 
-// BenchmarkProbe measures one probe of an engine: bytes both ways above TCP, and
-// the processor time of the prober and the stand-in together.
+// BenchmarkProbe measures one probe of an engine: bytes in both directions above
+// TCP, and the CPU time of client and simulated engine together.
 func BenchmarkProbe(b *testing.B) {
 	var bytes atomic.Int64
 	e := startEngine(b, "bornova-runner-001", &bytes)
 	engines := engine.NewHTTPClient()
-	ask := func() {
+	query := func() {
 		if _, err := engines.Capabilities(b.Context(), e.Address()); err != nil {
 			b.Fatal(err)
 		}
 	}
-	ask()
+	query()
 	before, cpu := bytes.Load(), testutil.CPUTime(b)
 	for b.Loop() {
-		ask()
+		query()
 	}
 	b.ReportMetric(float64(bytes.Load()-before)/float64(b.N), "wire-B/op")
 	b.ReportMetric(float64(testutil.CPUTime(b)-cpu)/float64(time.Microsecond)/float64(b.N), "cpu-µs/op")
