--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,7 @@
-// Package explain answers operators' questions about requests. A question is an
-// Explanation record; one of the VMs that accept records asks all VMs and
-// writes the answer, so that no VM watches for questions which is not needed.
+// Package explain answers operators' queries about how a request was handled. A
+// query is an Explanation record. One of the VMs that accept records queries all
+// VMs and writes the result, so that the other VMs don't need to watch for
+// queries.
 package explain
 
 import (
@@ -25,15 +26,15 @@
 )
 
 const (
-	// askTimeout bounds the question to one VM.
-	askTimeout = time.Second
-	// askedAtOnce bounds the VMs asked at the same time.
-	askedAtOnce = 32
-	// questionCapacity bounds the questions waiting to be answered.
-	questionCapacity = 64
+	// queryTimeout bounds the query to one VM.
+	queryTimeout = time.Second
+	// maxConcurrentQueries bounds the VMs queried at the same time.
+	maxConcurrentQueries = 32
+	// pendingCapacity bounds the queue of unanswered queries.
+	pendingCapacity = 64
 )
 
-// Options are what an Explainer works with.
+// Options are the dependencies of an Explainer.
 type Options struct {
 	Log       logr.Logger
 	Self      string
@@ -43,22 +44,22 @@
 	Journal   *journal.Journal
 }
 
-// Explainer answers questions about requests.
+// Explainer answers queries about requests.
 type Explainer struct {
 	Options
 }
 
-// New makes an explainer.
+// New returns an explainer.
 func New(options Options) *Explainer { return &Explainer{Options: options} }
 
-// Mount lets other VMs ask what was decided here.
+// Mount registers the handler by which other VMs query this VM's decisions.
 func (e *Explainer) Mount(server *peer.Server) {
 	server.Handle(explainv1connect.NewExplainServiceHandler(e))
 }
 
 // Steps implements ExplainService.
-func (e *Explainer) Steps(_ context.Context, question *connect.Request[explainv1.StepsRequest]) (*connect.Response[explainv1.StepsResponse], error) {
-	steps := e.own(question.Msg.GetRequest())
+func (e *Explainer) Steps(_ context.Context, query *connect.Request[explainv1.StepsRequest]) (*connect.Response[explainv1.StepsResponse], error) {
+	steps := e.localSteps(query.Msg.GetRequest())
 	if len(steps) == 0 {
 		return connect.NewResponse(&explainv1.StepsResponse{}), nil
 	}
@@ -69,17 +70,17 @@
 	return connect.NewResponse(&explainv1.StepsResponse{Steps: data}), nil
 }
 
-// own gives what was decided on this VM.
-func (e *Explainer) own(id string) []api.ExplanationStep {
+// localSteps returns the decisions that this VM recorded for a request.
+func (e *Explainer) localSteps(id string) []api.ExplanationStep {
 	notes := e.Journal.Of(request.ID(id))
 	steps := make([]api.ExplanationStep, 0, len(notes))
 	for _, note := range notes {
-		steps = append(steps, step(note, note.At-notes[0].At))
+		steps = append(steps, explanationStep(note, note.At-notes[0].At))
 	}
 	return steps
 }
 
-func step(note core.Note, after time.Duration) api.ExplanationStep {
+func explanationStep(note core.Note, after time.Duration) api.ExplanationStep {
 	return api.ExplanationStep{
 		Millis:    after.Milliseconds(),
 		Step:      string(note.Step),
@@ -93,18 +94,18 @@
 	}
 }
 
-// Run watches for questions and answers them until ctx ends.
+// Run watches for queries and answers them until ctx ends.
 func (e *Explainer) Run(ctx context.Context) {
-	questions := make(chan platform.Object, questionCapacity)
+	pending := make(chan platform.Object, pendingCapacity)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = e.Platform.Follow(ctx, string(api.KindExplanation), "", sink{ctx: ctx, questions: questions})
+		_ = e.Platform.Follow(ctx, string(api.KindExplanation), "", pendingSink{ctx: ctx, pending: pending})
 	}()
 	defer func() { <-done }()
 	for {
 		select {
-		case object := <-questions:
+		case object := <-pending:
 			if err := e.answer(ctx, object); err != nil && ctx.Err() == nil {
 				telemetry.RequestNotExplained.Fail(e.Log, err, "request", object.Name)
 			}
@@ -114,8 +115,9 @@
 	}
 }
 
-// answer asks every VM and writes what was found. Another VM that answers the
-// same question at the same time finds the same: the first write stands.
+// answer queries every VM and writes the result. Another VM that answers the same
+// query concurrently finds the same steps, so the first write wins and a conflict
+// is not an error.
 func (e *Explainer) answer(ctx context.Context, object platform.Object) error {
 	var explanation api.Explanation
 	if err := json.Unmarshal(object.Value, &explanation); err != nil || explanation.State != api.ExplanationAsked {
@@ -123,14 +125,14 @@
 	}
 	explanation.Request = object.Name
 	explanation.State = api.ExplanationUnknown
-	for _, found := range e.askAll(ctx, object.Name) {
+	for _, result := range e.queryAll(ctx, object.Name) {
 		switch {
-		case found.err != nil:
-			explanation.Silent = append(explanation.Silent, found.vm)
-		case len(found.steps) > 0:
+		case result.err != nil:
+			explanation.Silent = append(explanation.Silent, result.vm)
+		case len(result.steps) > 0:
 			explanation.State = api.ExplanationFound
-			explanation.VM = found.vm
-			explanation.Steps = found.steps
+			explanation.VM = result.vm
+			explanation.Steps = result.steps
 		}
 	}
 	_, err := e.Platform.Update(ctx, object.Kind, object.Name, object.Version, explanation)
@@ -140,39 +142,39 @@
 	return err
 }
 
-// found is one VM's answer.
-type found struct {
+// vmResult is the result of the query to one VM.
+type vmResult struct {
 	vm    string
 	steps []api.ExplanationStep
 	err   error
 }
 
-func (e *Explainer) askAll(ctx context.Context, id string) []found {
+func (e *Explainer) queryAll(ctx context.Context, id string) []vmResult {
 	members := e.Directory.Members()
-	answers := make([]found, len(members))
-	slots := make(chan struct{}, askedAtOnce)
+	results := make([]vmResult, len(members))
+	slots := make(chan struct{}, maxConcurrentQueries)
 	var group sync.WaitGroup
 	for i, member := range members {
 		slots <- struct{}{}
 		group.Go(func() {
-			steps, err := e.ask(ctx, member.Name, id)
-			answers[i] = found{vm: member.Name, steps: steps, err: err}
+			steps, err := e.queryVM(ctx, member.Name, id)
+			results[i] = vmResult{vm: member.Name, steps: steps, err: err}
 			<-slots
 		})
 	}
 	group.Wait()
-	return answers
+	return results
 }
 
-func (e *Explainer) ask(ctx context.Context, vm, id string) ([]api.ExplanationStep, error) {
+func (e *Explainer) queryVM(ctx context.Context, vm, id string) ([]api.ExplanationStep, error) {
 	if vm == e.Self {
-		return e.own(id), nil
+		return e.localSteps(id), nil
 	}
 	http, url, err := e.Dialer.Endpoint(vm)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	client := explainv1connect.NewExplainServiceClient(http, url)
 	response, err := client.Steps(ctx, connect.NewRequest(&explainv1.StepsRequest{Request: id}))
@@ -183,34 +185,34 @@
 	return steps, json.Unmarshal(response.Msg.GetSteps(), &steps)
 }
 
-// sink passes questions on.
-type sink struct {
-	ctx       context.Context
-	questions chan<- platform.Object
+// pendingSink sends the watched queries to the pending channel.
+type pendingSink struct {
+	ctx     context.Context
+	pending chan<- platform.Object
 }
 
 // Listed implements platform.Sink.
-func (s sink) Listed(list platform.List) error {
+func (s pendingSink) Listed(list platform.List) error {
 	for _, object := range list.Items {
-		s.pass(object)
+		s.enqueue(object)
 	}
 	return nil
 }
 
 // Watched implements platform.Sink.
-func (s sink) Watched(event platform.WatchEvent) error {
+func (s pendingSink) Watched(event platform.WatchEvent) error {
 	if !event.Bookmark && !event.Deleted {
-		s.pass(event.Object)
+		s.enqueue(event.Object)
 	}
 	return nil
 }
 
 // Broken implements platform.Sink.
-func (sink) Broken(error) {}
+func (pendingSink) Broken(error) {}
 
-func (s sink) pass(object platform.Object) {
+func (s pendingSink) enqueue(object platform.Object) {
 	select {
-	case s.questions <- object:
+	case s.pending <- object:
 	case <-s.ctx.Done():
 	}
 }
