--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -1,5 +1,5 @@
-// Package service is the client side of plain services: it passes a caller's
-// request to one backend server and its answer back.
+// Package service is the client for plain services. It forwards a client's request
+// to one backend server and returns the response.
 package service
 
 import (
@@ -17,37 +17,39 @@
 	"oleandershunt.example/oleandershunt/internal/wire"
 )
 
-// heldBytes is the size up to which an answer is held until it is whole, so
-// that a service which dies while answering an idempotent call costs the caller
-// nothing. Larger answers are passed on as they come.
-const heldBytes = 256 << 10
+// maxBufferedBytes is the largest response that is buffered completely before it is
+// returned, so that an idempotent call can be retried unnoticed by the client if
+// the service crashes while it responds. Larger responses are streamed.
+const maxBufferedBytes = 256 << 10
 
-const idlePerServer = 16
+// maxIdlePerServer bounds the idle connections kept open to one server.
+const maxIdlePerServer = 16
 
-// DefaultConnectTimeout bounds the making of a connection to a service.
+// DefaultConnectTimeout bounds the time to connect to a service.
 const DefaultConnectTimeout = 500 * time.Millisecond
 
-// ErrNotStarted marks a call of which no byte left: the service was not reached.
+// ErrNotStarted means that no byte of the call was sent, so that the service cannot
+// have run it.
 var ErrNotStarted = eris.New("service was not reached: try another backend server")
 
-// ErrMayHaveStarted marks a call that broke after its first byte left.
+// ErrMayHaveStarted means that the call failed after its first byte was sent.
 var ErrMayHaveStarted = eris.New("service may have run the call: repeat it only if it is idempotent")
 
 // Call is one request to a plain service.
 type Call struct {
 	Address string
 	Method  string
-	// URI is the path with the query.
+	// URI is the path and query.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Idempotent says that the call may run again. Only such calls reuse connections.
+	// Idempotent allows the call to be repeated. Only such calls reuse connections.
 	Idempotent bool
 }
 
-// Answer is a service's answer. Its bytes are Start, then Rest unless that is
-// nil. The receiver closes Rest.
+// Answer is a service's response. Its body is Start, followed by Rest unless Rest
+// is nil. The receiver must close Rest.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -61,14 +63,14 @@
 	fresh  *http.Client
 }
 
-// NewClient makes a client that takes a fresh connection for every call which
-// may not be repeated; wire.Transports says why.
+// NewClient returns a client with DefaultConnectTimeout. It opens a new connection
+// for every call that is not idempotent; see wire.Transports for the reason.
 func NewClient() *Client { return NewClientWithTimeout(DefaultConnectTimeout, nil) }
 
-// NewClientWithTimeout makes a client whose connects end after a time by a clock,
-// which may be nil.
+// NewClientWithTimeout returns a client with the connect timeout, measured by
+// clock. The clock may be nil.
 func NewClientWithTimeout(connect time.Duration, clock *schedclock.Clock) *Client {
-	pooled, fresh := wire.Transports(connect, clock, idlePerServer)
+	pooled, fresh := wire.Transports(connect, clock, maxIdlePerServer)
 	return &Client{pooled: client(pooled), fresh: client(fresh)}
 }
 
@@ -79,7 +81,7 @@
 	}
 }
 
-// Do makes one call. An error wraps ErrNotStarted or ErrMayHaveStarted.
+// Do makes one call. Its errors wrap ErrNotStarted or ErrMayHaveStarted.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
 	ctx, sent := wire.WatchSent(ctx)
 	request, err := newRequest(ctx, call)
@@ -102,8 +104,8 @@
 	return answer, nil
 }
 
-// newRequest gives even an empty body a reader of ours: net/http would send a
-// call without a body again by itself when a reused connection breaks.
+// newRequest sets a one-time body reader even for an empty body, because net/http
+// retries a request without a body by itself when a reused connection breaks.
 func newRequest(ctx context.Context, call Call) (*http.Request, error) {
 	body := wire.OnceBody(bytes.NewReader(call.Body))
 	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+call.Address+call.URI, body)
@@ -117,11 +119,11 @@
 	return request, nil
 }
 
-// readAnswer holds a small answer whole, and the start of a large one.
+// readAnswer buffers a small response completely and the start of a larger one.
 func readAnswer(response *http.Response) (Answer, error) {
 	answer := Answer{Status: response.StatusCode, Header: response.Header}
 	start := new(bytes.Buffer)
-	_, err := io.CopyN(start, response.Body, heldBytes+1)
+	_, err := io.CopyN(start, response.Body, maxBufferedBytes+1)
 	answer.Start = start.Bytes()
 	if errors.Is(err, io.EOF) {
 		return answer, response.Body.Close()
