--- /dev/null
+++ b/renames/small.sed
@@ -0,0 +1,3 @@
+sed -i 's|// Rare lowers the|// LowRate lowers the|; s|^\(\t// \)Rare set\.|\1LowRate set.|; s|with Rare set|with LowRate set|; s|// Misplaced is true|// WrongServer is true|; s|// Now schedules|// ProbeNow schedules|; s|calls of Now |calls of ProbeNow |' internal/probe/probe.go
+sed -i 's|// Mount registers|// RegisterHandler registers|' internal/explain/explain.go
+sed -i "s|// Answer is a service's response. Its body is Start, followed by Rest unless Rest|// Response is a service's response. Its body is BufferedBody, followed by\\n// RemainingBody unless RemainingBody|; s|// is nil. The receiver must close Rest\\.|// is nil. The receiver must close RemainingBody.|" internal/service/client.go
