--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -43,7 +43,7 @@
 // a request that was sent at a known time shows what was in force then: a response of the
 // platform, or of a VM that the platform answered.
 type configReader struct {
-	parts      Parts
+	parts      Options
 	log        logr.Logger
 	dispatcher *relay.Dispatcher
 	proofs     *proofTracker
@@ -55,14 +55,14 @@
 	platformOlder bool
 }
 
-func newConfigReader(p Parts, d *relay.Dispatcher) *configReader {
+func newConfigReader(p Options, d *relay.Dispatcher) *configReader {
 	return &configReader{parts: p, log: p.Log, dispatcher: d, proofs: newProofTracker()}
 }
 
 // proven reports whether the proof is recent enough to accept keys.
 func (c *configReader) proven() bool {
 	at := c.proofs.get().provenAt
-	return at > 0 && bootclock.Now()-at < c.parts.current.get().KeyTrust-proofMargin
+	return at > 0 && bootclock.Now()-at < c.parts.current.get().MaxProofAge-proofMargin
 }
 
 func (c *configReader) run(ctx context.Context) error {
@@ -109,7 +109,7 @@
 }
 
 func (c *configReader) applyTimeFraction(fraction float64) time.Duration {
-	return time.Duration(fraction * float64(c.parts.current.get().ApplyWithin))
+	return time.Duration(fraction * float64(c.parts.current.get().ConfigApplyTime))
 }
 
 // followPeer learns from the VM that reads for this one. It returns false when there is
--- a/internal/edge/placer.go
+++ b/internal/edge/placer.go
@@ -76,7 +76,7 @@
 
 // placer orders the layers of its data centre's servers while it holds the placement role.
 type placer struct {
-	parts      Parts
+	parts      Options
 	log        logr.Logger
 	dispatcher *relay.Dispatcher
 	signals    *relay.Signals
@@ -125,7 +125,7 @@
 	loadedAt, expiresAt time.Duration
 }
 
-func newPlacer(p Parts, d *relay.Dispatcher, stopping func() bool) *placer {
+func newPlacer(p Options, d *relay.Dispatcher, stopping func() bool) *placer {
 	self := lease.VM{Name: p.Settings.VM, DataCentre: p.Settings.DataCentre, Incarnation: uuid.NewString(), Cores: p.Settings.Cores}
 	return &placer{
 		parts: p, log: p.Log, dispatcher: d, signals: relay.NewSignals(p.Log, d), stopping: stopping,
--- a/internal/edge/placer_test.go
+++ b/internal/edge/placer_test.go
@@ -50,7 +50,7 @@
 		s1 := backends.Server{ID: "s1", Name: "s1", Service: "llm", Address: "s1:1", DataCentre: "a"}
 		var left []backends.Server
 		d.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Put(now, s1) })
-		p := &placer{parts: Parts{Engines: engine}, signals: relay.NewSignals(logr.Discard(), d)}
+		p := &placer{parts: Options{Engines: engine}, signals: relay.NewSignals(logr.Discard(), d)}
 		_ = p.sendOrder(context.Background(), s1, spread.Order{Server: "s1", Layers: api.Layers{From: 0, To: 9}})
 		d.WithFleet(func(_ time.Duration, fleet *backends.Fleet) { left = fleet.Servers("llm") })
 		g.Expect(left).To(BeEmpty(), name)
@@ -65,7 +65,7 @@
 		g := NewWithT(t)
 		engine := &fakeEngine{report: relay.Report{Layers: layers, Busy: busy}}
 		d := relay.NewDispatcher(bootclock.Now, budget.New(budget.Options{Window: 10 * time.Second}))
-		p := &placer{parts: Parts{Engines: engine}, signals: relay.NewSignals(logr.Discard(), d)}
+		p := &placer{parts: Options{Engines: engine}, signals: relay.NewSignals(logr.Discard(), d)}
 		want := errAlreadyHeld
 		if busy {
 			want = errBusy // with another order
@@ -83,7 +83,7 @@
 	g := NewWithT(t)
 	engine := &fakeEngine{report: relay.Report{Started: 2}}
 	d := relay.NewDispatcher(bootclock.Now, budget.New(budget.Options{Window: 10 * time.Second}))
-	p := &placer{parts: Parts{Engines: engine}, signals: relay.NewSignals(logr.Discard(), d)}
+	p := &placer{parts: Options{Engines: engine}, signals: relay.NewSignals(logr.Discard(), d)}
 	order := spread.Order{Server: "s1@1", Layers: api.Layers{From: 0, To: 9}}
 	g.Expect(p.sendOrder(context.Background(), backends.Server{ID: "s1@1", Name: "s1", Started: 1}, order)).To(MatchError(errRestarted))
 	g.Expect(engine.ordered).To(BeEmpty())
@@ -103,7 +103,7 @@
 	dispatcher := relay.NewDispatcher(bootclock.Now, nil)
 	server := backends.Server{ID: "s1", Service: "llm", Address: "s1:1", DataCentre: "a", Card: "card"}
 	dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Put(now, server) })
-	p := newPlacer(Parts{Engines: &fakeEngine{err: context.DeadlineExceeded}, Settings: Settings{DataCentre: "a"}}, dispatcher, nil)
+	p := newPlacer(Options{Engines: &fakeEngine{err: context.DeadlineExceeded}, Settings: Settings{DataCentre: "a"}}, dispatcher, nil)
 
 	order := spread.Order{Server: "s1", Layers: api.Layers{From: 0, To: 8}}
 	fail := func() time.Duration {
@@ -129,7 +129,7 @@
 	g := NewWithT(t)
 	engine := &routes.Engine{Layers: 8, LayerMB: 1, LoadsAtOnce: 4, Cards: map[string]routes.Card{"card": {MB: 10, Pace: 1}}}
 	retries := budget.New(budget.Options{Window: 10 * time.Second})
-	p := newPlacer(Parts{Settings: Settings{DataCentre: "b"}}, relay.NewDispatcher(bootclock.Now, retries), nil)
+	p := newPlacer(Options{Settings: Settings{DataCentre: "b"}}, relay.NewDispatcher(bootclock.Now, retries), nil)
 	listed := []backends.Server{
 		{ID: "s1", DataCentre: "a", LayerRanges: []backends.LayerRange{{Layers: api.Layers{From: 0, To: 5}}}},
 		{ID: "s2", DataCentre: "a"},
--- a/internal/edge/servers.go
+++ b/internal/edge/servers.go
@@ -24,7 +24,7 @@
 
 // serverList keeps the dispatcher's servers in sync with the platform's entries.
 type serverList struct {
-	parts      Parts
+	parts      Options
 	log        logr.Logger
 	dispatcher *relay.Dispatcher
 	// onServer is called with each decoded entry.
@@ -35,7 +35,7 @@
 	// platformOlder is set while the platform's last response was older than an earlier
 	// one.
 	platformOlder atomic.Bool
-	// listVersion is the version of the last list. Only Listed uses it.
+	// listVersion is the version of the last list. Only HandleList uses it.
 	listVersion history.Version
 	// invalidEntries are the versions of the entries that describe no usable server, by
 	// name.
@@ -48,7 +48,7 @@
 
 var _ objects.Sink = (*serverList)(nil)
 
-func newServerList(p Parts, d *relay.Dispatcher, registered func(backends.Server)) *serverList {
+func newServerList(p Options, d *relay.Dispatcher, registered func(backends.Server)) *serverList {
 	l := &serverList{parts: p, log: p.Log, dispatcher: d, onServer: registered, invalidEntries: make(map[string]history.Version)}
 	l.entryLog = mirror.NewLog(l, bootclock.Now)
 	return l
@@ -75,8 +75,8 @@
 	}
 }
 
-// Listed implements objects.Sink.
-func (l *serverList) Listed(list objects.List) error {
+// HandleList implements objects.Sink.
+func (l *serverList) HandleList(list objects.List) error {
 	servers := make([]backends.Server, 0, len(list.Items))
 	for _, object := range list.Items {
 		if server, ok := l.decode(object); ok {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// Watched implements objects.Sink.
-func (l *serverList) Watched(event objects.WatchEvent) error {
+// HandleEvent implements objects.Sink.
+func (l *serverList) HandleEvent(event objects.WatchEvent) error {
 	l.markPlatformUp()
 	if event.Bookmark {
 		return nil
@@ -120,8 +120,8 @@
 	l.dispatcher.WithFleet(func(now time.Duration, fleet *backends.Fleet) { fleet.Remove(now, object.Name, object.Version) })
 }
 
-// Broken implements objects.Sink.
-func (l *serverList) Broken(err error) {
+// HandleError implements objects.Sink.
+func (l *serverList) HandleError(err error) {
 	if errors.Is(err, objects.ErrCompacted) {
 		return
 	}
