--- a/internal/core/route/graph.go
+++ b/internal/core/route/graph.go
@@ -181,7 +181,7 @@
 }
 
 // scaleUnmeasured multiplies the capacities of the servers without measurements by
-// the median ratio of estimated to nominal capacity of the measured ones. The
+// the median ratio of estimated to nominal capacity of the other servers. The
 // figures of the records are good for comparing servers, but not absolute. Without
 // scaling, measured servers would seem far faster or slower than the others.
 func (g *graph) scaleUnmeasured() {
